--- a/src/core/address_index.c
+++ b/src/core/address_index.c
@@ -18,10 +18,10 @@
 /* \return the slot of an address, or the free one where it belongs */
 static struct address_slot *slot_of(const struct address_index *index, uint32_t address)
 {
-    uint32_t place = first_slot(index, address);
-    while (index->slots[place].address && index->slots[place].address != address)
-        place = (place + 1) & (index->capacity - 1);
-    return &index->slots[place];
+    uint32_t position = first_slot(index, address);
+    while (index->slots[position].address && index->slots[position].address != address)
+        position = (position + 1) & (index->capacity - 1);
+    return &index->slots[position];
 }
 
 static void grow(struct address_index *index)
@@ -37,13 +37,13 @@
     *index = larger;
 }
 
-void address_index_put(struct address_index *index, uint32_t address, uint32_t place)
+void address_index_put(struct address_index *index, uint32_t address, uint32_t position)
 {
     if (2 * (index->count + 1) > index->capacity)
         grow(index);
     struct address_slot *slot = slot_of(index, address);
     index->count += slot->address == 0;
-    *slot = (struct address_slot){address, place};
+    *slot = (struct address_slot){address, position};
 }
 
 uint32_t address_index_find(const struct address_index *index, uint32_t address)
@@ -51,7 +51,7 @@
     if (!index->capacity || !address)
         return ADDRESS_INDEX_NONE;
     const struct address_slot *slot = slot_of(index, address);
-    return slot->address ? slot->place : ADDRESS_INDEX_NONE;
+    return slot->address ? slot->position : ADDRESS_INDEX_NONE;
 }
 
 void address_index_clear(struct address_index *index)
--- a/src/core/address_index.h
+++ b/src/core/address_index.h
@@ -14,7 +14,7 @@
 
 struct address_slot {
     uint32_t address; /**< host byte order; 0: free */
-    uint32_t place;
+    uint32_t position;
 };
 
 struct address_index {
@@ -24,7 +24,7 @@
 };
 
 /** \brief Enter a place for an address that is not 0, or change it. */
-void address_index_put(struct address_index *index, uint32_t address, uint32_t place);
+void address_index_put(struct address_index *index, uint32_t address, uint32_t position);
 /** \return the place, or ADDRESS_INDEX_NONE */
 uint32_t address_index_find(const struct address_index *index, uint32_t address);
 /** \brief Take all entries out; the memory is kept. */
--- a/src/core/backend_answer.h
+++ b/src/core/backend_answer.h
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 /** What an answer says, as far as a decision needs it. */
-struct answer_facts {
+struct answer_properties {
     unsigned status;         /**< of HTTP */
     bool sealed;             /**< it bears the back end's signature */
     bool not_executed;       /**< the back end promises that it did not run the request */
@@ -18,16 +18,16 @@
 };
 
 /** What the answer means for its request. */
-enum answer_meaning {
-    ANSWER_DELIVERED, /**< a success that may go to the client */
-    ANSWER_NOT_RUN,   /**< the back end did not run it, and never will */
-    ANSWER_ELSEWHERE, /**< not run: another back end stands there, or it has other weights */
-    ANSWER_UNPROVEN,  /**< nothing shows that the back end made it: the request may have run */
-    ANSWER_FAILED,    /**< the back end ran it, and says that it failed or cannot be done */
+enum answer_class {
+    ANSWER_SUCCEEDED,   /**< a success that may go to the client */
+    ANSWER_NOT_RUN,     /**< the back end did not run it, and never will */
+    ANSWER_MISDIRECTED, /**< not run: another back end stands there, or it has other weights */
+    ANSWER_UNVERIFIED,  /**< nothing shows that the back end made it: the request may have run */
+    ANSWER_FAILED,      /**< the back end ran it, and says that it failed or cannot be done */
 };
 
-enum answer_meaning answer_meaning(const struct answer_facts *facts);
+enum answer_class classify_answer(const struct answer_properties *facts);
 /** \return time for which the back end wants nothing more from here, microseconds; 0: none */
-uint64_t answer_backoff_us(const struct answer_facts *facts);
+uint64_t answer_backoff_us(const struct answer_properties *facts);
 
 #endif
--- a/src/core/backend_fit.c
+++ b/src/core/backend_eligibility.c
@@ -2,9 +2,9 @@
 #include "core/backend_pool_internal.h"
 
 /** Silence after which a model engine gets nothing more until it answers. */
-#define STALLED_US 700000
+#define STALL_TIMEOUT_US 700000
 /** A first byte after this time shows a back end, or a way to it, that is late. */
-#define LATE_US 450000
+#define LATE_FIRST_BYTE_US 450000
 
 static uint64_t weights_version(const struct backend_pool *pool, const struct backend *backend,
                                 uint64_t now)
@@ -16,36 +16,36 @@
 /* A request was sent a while ago and nothing came back. */
 static bool is_stalled(const struct backend *backend, uint64_t now)
 {
-    return backend->unread && now > backend->unread_since + STALLED_US;
+    return backend->awaiting_first_byte && now > backend->awaiting_since + STALL_TIMEOUT_US;
 }
 
 /* What is sent there may begin much later, as far as this gateway's own traffic shows. */
 static bool is_late(const struct backend *backend, uint64_t now)
 {
-    return backend->load.link_slow || backend->last_latency_us > LATE_US ||
-           now > backend->last_answer_at + BACKEND_PROMPT_US || is_stalled(backend, now);
+    return backend->load.link_slow || backend->last_latency_us > LATE_FIRST_BYTE_US ||
+           now > backend->last_answer_at + BACKEND_RECENT_ANSWER_US || is_stalled(backend, now);
 }
 
 /* Whether the weights there are new enough, now and for the time that the request may wait. */
-static bool has_version(const struct backend_pool *pool, const struct backend_wish *wish,
+static bool has_version(const struct backend_pool *pool, const struct backend_criteria *criteria,
                         const struct backend *backend, uint64_t now)
 {
     uint64_t version = weights_version(pool, backend, now);
-    if (!version || version < wish->least_version)
+    if (!version || version < criteria->min_version)
         return false;
-    if (wish->exact_version && version != wish->exact_version)
+    if (criteria->required_version && version != criteria->required_version)
         return false;
-    if (is_late(backend, now) && version < wish->later_version)
+    if (is_late(backend, now) && version < criteria->later_min_version)
         return false;
     bool staged = backend_has_recent_load(pool, backend, now) && backend->load.staged;
-    return version >= wish->next_version || staged;
+    return version >= criteria->next_min_version || staged;
 }
 
 /* Back ends tell their starts apart, all of a platform or none: an entry that does not, among
  * others that do, was written by somebody else, and may stand for nobody. Most of its service
  * decide; where that is small, or its dated ones have left, most of all do, as long as some entry
  * of the service ever was dated. */
-static bool is_dubious(const struct backend_pool *pool, const struct backend *backend)
+static bool is_untrusted_entry(const struct backend_pool *pool, const struct backend *backend)
 {
     if (backend->listing.born)
         return false;
@@ -61,29 +61,31 @@
                           uint64_t now)
 {
     return backend->listing.draining || backend->leaving || backend->load.leaving ||
-           backend_is_past_unlisting(backend, now) || is_dubious(pool, backend);
+           backend_unlisting_has_expired(backend, now) || is_untrusted_entry(pool, backend);
 }
 
 static bool has_ended(const struct backend *backend, uint64_t now)
 {
-    return now < backend->ended_until;
+    return now < backend->presumed_down_until;
 }
 
-bool backend_may_begin(const struct backend_pool *pool, const struct backend *backend,
-                       const struct backend_wish *wish, uint64_t now)
+bool backend_may_start_request(const struct backend_pool *pool, const struct backend *backend,
+                               const struct backend_criteria *criteria, uint64_t now)
 {
     if (!backend->listed || is_out_of_use(pool, backend, now) || has_ended(backend, now) ||
         backend_is_backed_off(backend, now))
         return false;
-    return !wish->engine || has_version(pool, wish, backend, now);
+    return !criteria->engine || has_version(pool, criteria, backend, now);
 }
 
 /* It is empty, and is to get the version that the request needs. */
-static bool gets_version(const struct backend_pool *pool, const struct backend_wish *wish,
-                         const struct backend *backend, uint64_t now)
+static bool awaits_required_version(const struct backend_pool *pool,
+                                    const struct backend_criteria *criteria,
+                                    const struct backend *backend, uint64_t now)
 {
-    return wish->exact_version && wish->exact_version == wish->coming_version &&
-           wish->exact_version >= wish->least_version && !weights_version(pool, backend, now);
+    return criteria->required_version && criteria->required_version == criteria->coming_version &&
+           criteria->required_version >= criteria->min_version &&
+           !weights_version(pool, backend, now);
 }
 
 static bool is_loading(const struct backend_pool *pool, const struct backend *backend, uint64_t now)
@@ -91,71 +93,72 @@
     return backend_has_recent_load(pool, backend, now) && backend->load.loading;
 }
 
-static bool may_serve(const struct backend_pool *pool, const struct backend_wish *wish,
+static bool may_serve(const struct backend_pool *pool, const struct backend_criteria *criteria,
                       const struct backend *backend, uint64_t now)
 {
     if (is_out_of_use(pool, backend, now))
         return false;
-    if (!wish->engine || gets_version(pool, wish, backend, now))
+    if (!criteria->engine || awaits_required_version(pool, criteria, backend, now))
         return true;
-    return has_version(pool, wish, backend, now) && !is_loading(pool, backend, now);
+    return has_version(pool, criteria, backend, now) && !is_loading(pool, backend, now);
 }
 
-bool backend_pool_may_serve(const struct backend_pool *pool, const struct backend_wish *wish,
-                            uint64_t now)
+bool backend_pool_may_serve(const struct backend_pool *pool,
+                            const struct backend_criteria *criteria, uint64_t now)
 {
-    const struct backend_group *group = backend_table_group(&pool->table, wish->service);
+    const struct backend_group *group = backend_table_group(&pool->table, criteria->service);
     for (uint32_t i = 0; group && i < group->count; i++)
-        if (may_serve(pool, wish, group->items[i], now))
+        if (may_serve(pool, criteria, group->items[i], now))
             return true;
     return false;
 }
 
-static bool is_excluded(const struct backend_wish *wish, const struct backend *backend)
+static bool is_excluded(const struct backend_criteria *criteria, const struct backend *backend)
 {
-    for (uint32_t i = 0; i < wish->excluded_count; i++)
-        if (wish->excluded[i] == backend)
+    for (uint32_t i = 0; i < criteria->excluded_count; i++)
+        if (criteria->excluded[i] == backend)
             return true;
     return false;
 }
 
 /* Whether it could take the request, if it wants any now: one that wants none reports itself empty.
  */
-static bool is_able(const struct backend_pool *pool, const struct backend_wish *wish,
-                    const struct backend *backend, uint64_t now)
+static bool is_able_to_serve(const struct backend_pool *pool,
+                             const struct backend_criteria *criteria, const struct backend *backend,
+                             uint64_t now)
 {
     if (is_out_of_use(pool, backend, now) || has_ended(backend, now))
         return false;
-    if (!wish->engine)
+    if (!criteria->engine)
         return true;
-    if (!has_version(pool, wish, backend, now))
+    if (!has_version(pool, criteria, backend, now))
         return false;
     return !is_loading(pool, backend, now) && !is_stalled(backend, now);
 }
 
 /* One that never reported here may report to others. */
-static bool is_silent_since(const struct backend *backend, uint64_t moment)
+static bool is_inactive_since(const struct backend *backend, uint64_t moment)
 {
     return backend->load_at && backend->load_at <= moment && backend->last_answer_at <= moment;
 }
 
-bool backend_is_fit(const struct backend_pool *pool, const struct backend_wish *wish,
-                    const struct backend *backend, uint64_t now)
+bool backend_is_eligible(const struct backend_pool *pool, const struct backend_criteria *criteria,
+                         const struct backend *backend, uint64_t now)
 {
-    if (wish->heard_after && is_silent_since(backend, wish->heard_after))
+    if (criteria->heard_after && is_inactive_since(backend, criteria->heard_after))
         return false;
-    return is_able(pool, wish, backend, now) && !backend_is_backed_off(backend, now) &&
-           !is_excluded(wish, backend);
+    return is_able_to_serve(pool, criteria, backend, now) && !backend_is_backed_off(backend, now) &&
+           !is_excluded(criteria, backend);
 }
 
-uint64_t backend_pool_backoff_end(const struct backend_pool *pool, const struct backend_wish *wish,
-                                  uint64_t now)
+uint64_t backend_pool_backoff_end(const struct backend_pool *pool,
+                                  const struct backend_criteria *criteria, uint64_t now)
 {
-    const struct backend_group *group = backend_table_group(&pool->table, wish->service);
+    const struct backend_group *group = backend_table_group(&pool->table, criteria->service);
     uint64_t first = 0;
     for (uint32_t i = 0; group && i < group->count; i++) {
         const struct backend *backend = group->items[i];
-        if (!is_able(pool, wish, backend, now))
+        if (!is_able_to_serve(pool, criteria, backend, now))
             continue;
         if (!backend_is_backed_off(backend, now))
             return 0;
--- a/src/core/backend_health.c
+++ b/src/core/backend_health.c
@@ -2,53 +2,54 @@
  */
 #include "core/backend_pool_internal.h"
 
-#define MOVING_WEIGHT 0.15
-#define LATENCY_WEIGHT 0.2
+#define RATE_EWMA_WEIGHT 0.15
+#define LATENCY_EWMA_WEIGHT 0.2
 #define FAILURES_BEFORE_EJECTION 2
-#define EJECTION_FIRST_US 500000
-#define EJECTION_MOST_US 4000000
+#define FIRST_EJECTION_US 500000
+#define MAX_EJECTION_US 4000000
 /** Share of failed requests above which a back end counts as faulty. */
-#define FAULTY_SHARE 0.35
+#define FAULTY_FAILURE_RATE 0.35
 
-void backend_begin(struct backend *backend, uint32_t tokens, uint64_t now)
+void backend_request_started(struct backend *backend, uint32_t tokens, uint64_t now)
 {
-    if (!backend->unread)
-        backend->unread_since = now;
+    if (!backend->awaiting_first_byte)
+        backend->awaiting_since = now;
     backend->in_flight++;
-    backend->sent_since++;
-    backend->begun_since++;
-    backend->unread++;
-    backend->unread_tokens += tokens;
-    backend->tokens_since += tokens;
+    backend->sent_since_report++;
+    backend->started_since_report++;
+    backend->awaiting_first_byte++;
+    backend->pending_prompt_tokens += tokens;
+    backend->tokens_since_report += tokens;
 }
 
-void backend_answers(struct backend *backend, uint32_t tokens, uint64_t latency_us, uint64_t now)
+void backend_request_answered(struct backend *backend, uint32_t tokens, uint64_t latency_us,
+                              uint64_t now)
 {
     if (latency_us) {
         backend->last_answer_at = now;
         backend->last_latency_us = latency_us;
     }
-    backend->unread_since = now;
-    backend->unread--;
-    backend->unread_tokens -= tokens;
-    backend->tokens_since -= tokens;
+    backend->awaiting_since = now;
+    backend->awaiting_first_byte--;
+    backend->pending_prompt_tokens -= tokens;
+    backend->tokens_since_report -= tokens;
 }
 
 static void move(double *share, bool hit)
 {
-    *share += MOVING_WEIGHT * ((hit ? 1.0 : 0.0) - *share);
+    *share += RATE_EWMA_WEIGHT * ((hit ? 1.0 : 0.0) - *share);
 }
 
 static void eject(struct backend *backend, uint64_t now)
 {
-    uint64_t length = backend->ejection_us ? 2 * backend->ejection_us : EJECTION_FIRST_US;
-    backend->ejection_us = length > EJECTION_MOST_US ? EJECTION_MOST_US : length;
+    uint64_t length = backend->ejection_us ? 2 * backend->ejection_us : FIRST_EJECTION_US;
+    backend->ejection_us = length > MAX_EJECTION_US ? MAX_EJECTION_US : length;
     backend->ejected_until = now + backend->ejection_us;
 }
 
 static bool is_failure(enum backend_result result)
 {
-    return result == BACKEND_BROKEN || result == BACKEND_SILENT || result == BACKEND_UNREACHABLE;
+    return result == BACKEND_BROKEN || result == BACKEND_TIMED_OUT || result == BACKEND_UNREACHABLE;
 }
 
 /* An engine that takes other weights may break off what it still runs: that is no fault. */
@@ -59,29 +60,29 @@
            backend->load.loading;
 }
 
-bool backend_end(struct backend_pool *pool, struct backend *backend, enum backend_result result,
-                 uint64_t latency_us, uint64_t now)
+bool backend_request_ended(struct backend_pool *pool, struct backend *backend,
+                           enum backend_result result, uint64_t latency_us, uint64_t now)
 {
     bool was_probe = backend->probing;
     backend->in_flight--;
-    backend->sent_since--;
+    backend->sent_since_report--;
     backend->probing = false;
     /* Failures take as long as they like: only successes tell how fast it works. */
     if (result == BACKEND_SUCCEEDED && latency_us && backend->latency_us > 0)
-        backend->latency_us += LATENCY_WEIGHT * ((double)latency_us - backend->latency_us);
+        backend->latency_us += LATENCY_EWMA_WEIGHT * ((double)latency_us - backend->latency_us);
     else if (result == BACKEND_SUCCEEDED && latency_us)
         backend->latency_us = (double)latency_us;
     if (result == BACKEND_CANCELLED || is_planned_break(pool, backend, result, now))
         return false;
-    move(&backend->failure_share, is_failure(result));
-    move(&backend->refusal_share, result == BACKEND_REFUSED);
+    move(&backend->failure_rate, is_failure(result));
+    move(&backend->refusal_rate, result == BACKEND_REFUSED);
     if (!is_failure(result)) {
         backend->failures = 0;
         if (result == BACKEND_SUCCEEDED) {
             backend->ejected_until = 0;
             if (was_probe)
-                backend->failure_share /= 2;
-            if (backend->failure_share < 0.05)
+                backend->failure_rate /= 2;
+            if (backend->failure_rate < 0.05)
                 backend->ejection_us = 0;
         }
         return false;
@@ -89,7 +90,7 @@
     backend->failures++;
     bool faulty = result == BACKEND_UNREACHABLE || was_probe ||
                   backend->failures >= FAILURES_BEFORE_EJECTION ||
-                  backend->failure_share > FAULTY_SHARE;
+                  backend->failure_rate > FAULTY_FAILURE_RATE;
     if (faulty)
         eject(backend, now);
     return faulty;
--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -8,10 +8,10 @@
 
 /** Back ends that live list themselves again within this time of the return of the list's keeper,
  * as its operators say. */
-#define RELIST_US 2000000
+#define RELIST_GRACE_US 2000000
 
 /** An engine that reported nothing for so long is no longer among those that report. */
-#define REPORTS_OVER_US 10000000
+#define REPORT_EXPIRY_US 10000000
 
 struct backend_pool *backend_pool_create(const struct backend_pool_settings *settings,
                                          uint64_t seed)
@@ -58,10 +58,10 @@
     return pool->table.items[index];
 }
 
-static void drop_backend(struct backend_pool *pool, struct backend *backend)
+static void remove_backend(struct backend_pool *pool, struct backend *backend)
 {
     backend->listed = false;
-    backend_statement_keep(pool, backend);
+    backend_statement_save(pool, backend);
     backend_table_remove(&pool->table, backend);
     backend_release(backend);
 }
@@ -72,9 +72,9 @@
     /* A new start at an address replaces whatever was listed there before. */
     struct backend *before = backend_table_find_address(&pool->table, listing->address);
     if (before)
-        drop_backend(pool, before);
+        remove_backend(pool, before);
     backend->references = 1;
-    backend->luck = random_unit(&pool->random);
+    backend->rounding_draw = random_unit(&pool->random);
     backend->listing = *listing;
     backend_statement_restore(pool, backend);
     backend_table_add(&pool->table, backend);
@@ -97,7 +97,7 @@
 {
     bool same_address = strcmp(before->listing.address, listing->address) == 0;
     uint64_t backoff_until = same_address ? before->backoff_until : 0;
-    drop_backend(pool, before);
+    remove_backend(pool, before);
     struct backend *backend = add(pool, listing);
     if (backoff_until > backend->backoff_until)
         backend->backoff_until = backoff_until;
@@ -105,7 +105,7 @@
 }
 
 /* Some writes are done late, after later ones of the same start. */
-static bool is_written_late(const struct backend *backend, const struct backend_listing *listing)
+static bool is_stale_entry(const struct backend *backend, const struct backend_listing *listing)
 {
     return listing->sequence < backend->listing.sequence;
 }
@@ -118,12 +118,12 @@
         return false;
     if (listing->born)
         return backend->listed_born == listing->born;
-    return !backend->ended_until && is_written_late(backend, listing);
+    return !backend->presumed_down_until && is_stale_entry(backend, listing);
 }
 
-static void take_listing(struct backend *backend, const struct backend_listing *listing)
+static void update_listing(struct backend *backend, const struct backend_listing *listing)
 {
-    bool late = is_written_late(backend, listing);
+    bool late = is_stale_entry(backend, listing);
     bool leaves = stays_leaving(backend, listing);
     if (late && (leaves || listing->born))
         return;
@@ -139,14 +139,14 @@
         backend = add(pool, listing);
     else if (!is_same_start(backend, listing))
         backend = replace_start(pool, backend, listing);
-    take_listing(backend, listing);
+    update_listing(backend, listing);
     backend->listed_born = listing->born;
     backend->distance = distance;
     backend->listed = true;
     backend->unlisted_until = 0;
-    backend->doubtful = false;
-    backend->leaving_noted &= backend->listing.draining || backend->leaving;
-    backend_show_again(pool, backend);
+    backend->unlisted_in_outage = false;
+    backend->leaving_recorded &= backend->listing.draining || backend->leaving;
+    backend_clear_undated_start(pool, backend);
     return backend;
 }
 
@@ -155,58 +155,58 @@
  * keeper when the news come: gateways notice an outage late, and what leaves in that time is gone.
  */
 const struct backend *backend_pool_unlist(struct backend_pool *pool, const char *id,
-                                          const struct backend_drop *drop, uint64_t now)
+                                          const struct backend_unlisting *drop, uint64_t now)
 {
     struct backend *backend = backend_table_find_id(&pool->table, id);
     if (!backend)
         return NULL;
     if (backend->listing.draining || backend->leaving || backend->load.leaving) {
-        drop_backend(pool, backend);
+        remove_backend(pool, backend);
         return NULL;
     }
     if (backend->unlisted_until)
         return backend;
     backend->unlisted_at = now;
-    backend->doubtful = drop->from_outage;
+    backend->unlisted_in_outage = drop->from_outage;
     if (!drop->from_outage)
-        backend_note_leaving(backend, drop->learned);
+        backend_record_leaving(backend, drop->learned);
     backend->unlisted_until =
-        drop->learned + (drop->from_outage ? RELIST_US : pool->settings.unlisted_us);
+        drop->learned + (drop->from_outage ? RELIST_GRACE_US : pool->settings.unlisted_grace_us);
     return backend;
 }
 
-static void extend_doubtful(struct backend_pool *pool, uint64_t until)
+static void extend_outage_grace(struct backend_pool *pool, uint64_t until)
 {
     for (uint32_t i = 0; i < pool->table.count; i++) {
         struct backend *backend = pool->table.items[i];
-        if (backend->unlisted_until && backend->doubtful)
+        if (backend->unlisted_until && backend->unlisted_in_outage)
             backend->unlisted_until = until;
     }
 }
 
-void backend_pool_settle(struct backend_pool *pool, bool sound, uint64_t now)
+void backend_pool_expire(struct backend_pool *pool, bool sound, uint64_t now)
 {
     if (!sound || !pool->sound)
-        extend_doubtful(pool, now + RELIST_US);
+        extend_outage_grace(pool, now + RELIST_GRACE_US);
     pool->sound = sound;
     for (uint32_t i = pool->table.count; i-- > 0;) {
         struct backend *backend = pool->table.items[i];
-        if (backend_is_past_unlisting(backend, now))
-            drop_backend(pool, backend);
-        else if (backend->load_at && now > backend->load_at + REPORTS_OVER_US)
+        if (backend_unlisting_has_expired(backend, now))
+            remove_backend(pool, backend);
+        else if (backend->load_at && now > backend->load_at + REPORT_EXPIRY_US)
             backend_table_set_reported(&pool->table, backend, false);
     }
 }
 
-void backend_pool_replaced(struct backend_pool *pool, struct backend *backend)
+void backend_pool_remove(struct backend_pool *pool, struct backend *backend)
 {
     if (backend->listed)
-        drop_backend(pool, backend);
+        remove_backend(pool, backend);
 }
 
-void backend_pool_ended(struct backend_pool *pool, struct backend *backend, uint64_t now)
+void backend_pool_mark_down(struct backend_pool *pool, struct backend *backend, uint64_t now)
 {
-    backend->ended_until = now + BACKEND_ENDED_US;
+    backend->presumed_down_until = now + BACKEND_DOWN_US;
 }
 
 /* What the list says holds, also when the back end's clock was set back between two starts. */
@@ -232,7 +232,7 @@
     backend->listed_born = before->listed_born;
     backend->unlisted_at = before->unlisted_at;
     backend->unlisted_until = before->unlisted_until;
-    backend->doubtful = before->doubtful;
+    backend->unlisted_in_outage = before->unlisted_in_outage;
     backend_release(before);
     return backend;
 }
@@ -245,15 +245,15 @@
         return NULL;
     if (is_of_later_start(backend, load))
         backend = begin_start(pool, backend, load->born);
-    backend_show_again(pool, backend);
-    backend->ended_until = 0;
+    backend_clear_undated_start(pool, backend);
+    backend->presumed_down_until = 0;
     backend->load = *load;
     backend->load_at = now;
     backend->turn_at = load->turn_ms ? now + load->turn_ms * (uint64_t)1000 : 0;
-    backend->sent_since = 0;
-    backend->tokens_since = 0;
-    backend->begun_since = 0;
-    backend->luck = random_unit(&pool->random);
+    backend->sent_since_report = 0;
+    backend->tokens_since_report = 0;
+    backend->started_since_report = 0;
+    backend->rounding_draw = random_unit(&pool->random);
     backend_table_set_reported(&pool->table, backend, true);
     return backend;
 }
--- a/src/core/backend_statement.c
+++ b/src/core/backend_statement.c
@@ -7,7 +7,7 @@
 
 static bool extend_backoff(struct backend *backend, uint64_t asked_us, uint64_t now)
 {
-    uint64_t length = asked_us < BACKEND_BACKOFF_MOST_US ? asked_us : BACKEND_BACKOFF_MOST_US;
+    uint64_t length = asked_us < BACKEND_MAX_BACKOFF_US ? asked_us : BACKEND_MAX_BACKOFF_US;
     if (!asked_us || now + length <= backend->backoff_until)
         return false;
     backend->backoff_until = now + length;
@@ -15,33 +15,35 @@
 }
 
 /* An answer to a request from before its time off does not end it. */
-static void note_work(struct backend *backend, uint64_t now)
+static void record_success(struct backend *backend, uint64_t now)
 {
-    if (!backend_is_returning(backend, now))
+    if (!backend_backoff_has_expired(backend, now))
         return;
     backend->backoff_until = 0;
     backend->probing = false;
 }
 
 /* The list has dropped it, and may have named the same start again since. */
-static void tell_listed(struct backend_pool *pool, const struct backend *dropped)
+static void update_relisted(struct backend_pool *pool, const struct backend *dropped)
 {
     struct backend *listed = backend_table_find_id(&pool->table, dropped->listing.id);
-    backend_statement_keep(pool, dropped);
+    backend_statement_save(pool, dropped);
     if (listed)
         backend_statement_restore(pool, listed);
 }
 
-struct backend_change backend_pool_hear(struct backend_pool *pool, struct backend *backend,
-                                        const struct backend_statement *statement, uint64_t now)
+struct backend_statement_effect
+backend_pool_apply_statement(struct backend_pool *pool, struct backend *backend,
+                             const struct backend_statement *statement, uint64_t now)
 {
-    struct backend_change change = {.now_leaving = statement->leaving && !backend->leaving};
+    struct backend_statement_effect change = {.now_leaving =
+                                                  statement->leaving && !backend->leaving};
     backend->leaving |= statement->leaving;
     if (statement->works)
-        note_work(backend, now);
+        record_success(backend, now);
     change.now_backed_off = extend_backoff(backend, statement->backoff_us, now);
     if ((change.now_leaving || change.now_backed_off) && !backend->listed)
-        tell_listed(pool, backend);
+        update_relisted(pool, backend);
     return change;
 }
 
@@ -53,62 +55,63 @@
 /* What was dropped in an outage of the list may live. */
 static bool was_dropped(const struct backend *backend)
 {
-    return backend->unlisted_until && !backend->doubtful;
+    return backend->unlisted_until && !backend->unlisted_in_outage;
 }
 
-void backend_note_leaving(struct backend *backend, uint64_t since)
+void backend_record_leaving(struct backend *backend, uint64_t since)
 {
-    if (!backend->leaving_noted)
-        backend->leaves_since = since;
-    backend->leaving_noted = true;
+    if (!backend->leaving_recorded)
+        backend->leaving_known_since = since;
+    backend->leaving_recorded = true;
 }
 
-bool backend_end_is_planned(const struct backend_pool *pool, const struct backend *backend,
-                            uint64_t now)
+bool backend_exit_is_planned(const struct backend_pool *pool, const struct backend *backend,
+                             uint64_t now)
 {
     if (!is_leaving(backend) && !was_dropped(backend))
         return false;
-    return !backend->leaves_since || now >= backend->leaves_since + pool->settings.serves_on_us;
+    return !backend->leaving_known_since ||
+           now >= backend->leaving_known_since + pool->settings.min_drain_us;
 }
 
-static bool is_of_start(const struct kept_statement *kept, const struct backend *backend)
+static bool is_of_start(const struct saved_statement *kept, const struct backend *backend)
 {
     return strcmp(kept->id, backend->listing.id) == 0 && kept->born == backend->listing.born;
 }
 
-static struct kept_statement *find_kept(struct backend_pool *pool, const struct backend *backend)
+static struct saved_statement *find_saved(struct backend_pool *pool, const struct backend *backend)
 {
-    for (uint32_t i = 0; i < KEPT_STATEMENTS; i++)
+    for (uint32_t i = 0; i < SAVED_STATEMENTS; i++)
         if (is_of_start(&pool->kept[i], backend))
             return &pool->kept[i];
     return NULL;
 }
 
 /* Entries without a date may be of another start under the same id. */
-static bool is_leaving_for_good(const struct backend *backend)
+static bool is_leaving_permanently(const struct backend *backend)
 {
     return backend->leaving || (backend->listing.draining && backend->listing.born);
 }
 
-void backend_statement_keep(struct backend_pool *pool, const struct backend *backend)
+void backend_statement_save(struct backend_pool *pool, const struct backend *backend)
 {
-    if (!is_leaving_for_good(backend) && !backend->backoff_until)
+    if (!is_leaving_permanently(backend) && !backend->backoff_until)
         return;
-    struct kept_statement *kept = find_kept(pool, backend);
+    struct saved_statement *kept = find_saved(pool, backend);
     if (!kept) {
-        kept = &pool->kept[pool->kept_next];
-        pool->kept_next = (pool->kept_next + 1) % KEPT_STATEMENTS;
-        *kept = (struct kept_statement){.born = backend->listing.born};
+        kept = &pool->kept[pool->saved_next];
+        pool->saved_next = (pool->saved_next + 1) % SAVED_STATEMENTS;
+        *kept = (struct saved_statement){.born = backend->listing.born};
         memcpy(kept->id, backend->listing.id, sizeof kept->id);
     }
-    kept->leaving |= is_leaving_for_good(backend);
+    kept->leaving |= is_leaving_permanently(backend);
     if (backend->backoff_until > kept->backoff_until)
         kept->backoff_until = backend->backoff_until;
 }
 
 void backend_statement_restore(struct backend_pool *pool, struct backend *backend)
 {
-    const struct kept_statement *kept = find_kept(pool, backend);
+    const struct saved_statement *kept = find_saved(pool, backend);
     if (!kept)
         return;
     backend->leaving |= kept->leaving;
@@ -117,16 +120,16 @@
 }
 
 /* The entry of a start with a date, told again, is no sign of life. */
-void backend_show_again(struct backend_pool *pool, struct backend *backend)
+void backend_clear_undated_start(struct backend_pool *pool, struct backend *backend)
 {
-    if (backend->listing.born || !backend->ended_until)
+    if (backend->listing.born || !backend->presumed_down_until)
         return;
-    struct kept_statement *kept = find_kept(pool, backend);
+    struct saved_statement *kept = find_saved(pool, backend);
     if (kept)
-        *kept = (struct kept_statement){0};
-    backend->ended_until = 0;
+        *kept = (struct saved_statement){0};
+    backend->presumed_down_until = 0;
     backend->leaving = false;
-    backend->leaving_noted = false;
-    backend->leaves_since = 0;
+    backend->leaving_recorded = false;
+    backend->leaving_known_since = 0;
     backend->backoff_until = 0;
 }
--- a/src/core/backend_table.c
+++ b/src/core/backend_table.c
@@ -9,8 +9,8 @@
 
 /** Entries of an index for each back end, above which it is made anew: those that are gone stay in.
  */
-#define INDEX_EXCESS 4
-#define INDEX_LEAST 64
+#define INDEX_ENTRIES_PER_BACKEND 4
+#define INDEX_MIN_ENTRIES 64
 
 /* A key of the index: never 0, which it takes for a free slot. */
 static uint32_t key_of(const char *text)
@@ -35,11 +35,11 @@
 static struct backend *find(const struct backend_table *table, const struct address_index *index,
                             const char *text, matcher *matches)
 {
-    uint32_t place = address_index_find(index, key_of(text));
-    if (place == ADDRESS_INDEX_NONE)
+    uint32_t table_index = address_index_find(index, key_of(text));
+    if (table_index == ADDRESS_INDEX_NONE)
         return NULL;
-    if (place < table->count && matches(table->items[place], text))
-        return table->items[place];
+    if (table_index < table->count && matches(table->items[table_index], text))
+        return table->items[table_index];
     /* The entry is of one that is gone, or two keys are the same. */
     for (uint32_t i = 0; i < table->count; i++)
         if (matches(table->items[i], text))
@@ -57,20 +57,20 @@
     return find(table, &table->addresses, address, has_address);
 }
 
-static void enter(struct backend_table *table, const struct backend *backend)
+static void index_backend(struct backend_table *table, const struct backend *backend)
 {
-    address_index_put(&table->ids, key_of(backend->listing.id), backend->place);
-    address_index_put(&table->addresses, key_of(backend->listing.address), backend->place);
+    address_index_put(&table->ids, key_of(backend->listing.id), backend->table_index);
+    address_index_put(&table->addresses, key_of(backend->listing.address), backend->table_index);
 }
 
-static void trim_index(struct backend_table *table)
+static void rebuild_stale_indexes(struct backend_table *table)
 {
-    if (table->ids.count < INDEX_LEAST + INDEX_EXCESS * table->count)
+    if (table->ids.count < INDEX_MIN_ENTRIES + INDEX_ENTRIES_PER_BACKEND * table->count)
         return;
     address_index_clear(&table->ids);
     address_index_clear(&table->addresses);
     for (uint32_t i = 0; i < table->count; i++)
-        enter(table, table->items[i]);
+        index_backend(table, table->items[i]);
 }
 
 /* --- groups --------------------------------------------------------------------------------------
@@ -96,10 +96,11 @@
     return group;
 }
 
-static void set_group_place(struct backend_group *group, uint32_t place, struct backend *backend)
+static void set_group_place(struct backend_group *group, uint32_t table_index,
+                            struct backend *backend)
 {
-    group->items[place] = backend;
-    backend->group_place = place;
+    group->items[table_index] = backend;
+    backend->group_index = table_index;
 }
 
 static void swap_in_group(struct backend_group *group, uint32_t left, uint32_t right)
@@ -112,12 +113,12 @@
 void backend_table_set_reported(struct backend_table *table, struct backend *backend, bool reported)
 {
     struct backend_group *group = backend_table_group(table, backend->listing.service);
-    if ((backend->group_place < group->reported) == reported)
+    if ((backend->group_index < group->reported) == reported)
         return;
     if (reported)
-        swap_in_group(group, backend->group_place, group->reported++);
+        swap_in_group(group, backend->group_index, group->reported++);
     else
-        swap_in_group(group, backend->group_place, --group->reported);
+        swap_in_group(group, backend->group_index, --group->reported);
 }
 
 /* --- the table -----------------------------------------------------------------------------------
@@ -139,29 +140,29 @@
     struct backend_group *group = group_for(table, backend->listing.service);
     table->items = memory_resize(table->items, (table->count + 1) * sizeof *table->items);
     group->items = memory_resize(group->items, (group->count + 1) * sizeof *group->items);
-    backend->place = table->count;
+    backend->table_index = table->count;
     table->items[table->count++] = backend;
     set_group_place(group, group->count, backend);
     group->count++;
     group->dated += backend->listing.born != 0;
     group->ever_dated |= backend->listing.born != 0;
     table->dated += backend->listing.born != 0;
-    enter(table, backend);
-    trim_index(table);
+    index_backend(table, backend);
+    rebuild_stale_indexes(table);
 }
 
 void backend_table_remove(struct backend_table *table, struct backend *backend)
 {
     struct backend_group *group = backend_table_group(table, backend->listing.service);
     backend_table_set_reported(table, backend, false);
-    swap_in_group(group, backend->group_place, group->count - 1);
+    swap_in_group(group, backend->group_index, group->count - 1);
     group->count--;
     group->dated -= backend->listing.born != 0;
     table->dated -= backend->listing.born != 0;
     struct backend *last = table->items[--table->count];
     if (last == backend)
         return;
-    last->place = backend->place;
-    table->items[last->place] = last;
-    enter(table, last);
+    last->table_index = backend->table_index;
+    table->items[last->table_index] = last;
+    index_backend(table, last);
 }
--- a/src/core/balance_drop_slow.c
+++ b/src/core/balance_drop_slow.c
@@ -2,8 +2,8 @@
 
 #include <stdbool.h>
 
-#define SLOW_FACTOR 2 /* slower than so many medians is too slow */
-#define LEAST_KNOWN 4 /* speeds that must be known before anybody is left out */
+#define SLOW_FACTOR 2      /* slower than so many medians is too slow */
+#define MIN_KNOWN_SPEEDS 4 /* speeds that must be known before anybody is left out */
 #define PROBE_ONE_IN 64
 
 /* The median of the known times between tokens; 0 when too few are known. */
@@ -19,7 +19,7 @@
             sorted[at] = sorted[at - 1];
         sorted[at] = candidates[i].token_us;
     }
-    return known >= LEAST_KNOWN ? sorted[known / 2] : 0;
+    return known >= MIN_KNOWN_SPEEDS ? sorted[known / 2] : 0;
 }
 
 uint32_t balance_drop_slow(struct balance_state *state, struct balance_candidate *candidates,
--- a/src/core/endpoints.c
+++ b/src/core/endpoints.c
@@ -1,6 +1,6 @@
 #include "core/endpoints.h"
 
-static bool usable(const struct node *node, const struct machine *machine, uint64_t now)
+static bool is_usable_gateway(const struct node *node, const struct machine *machine, uint64_t now)
 {
     const struct peer *peer = node_peer(node, machine->id);
     return machine->role == MACHINE_GATEWAY && !machine->leaving &&
@@ -16,7 +16,7 @@
     if (self >= 0 && !draining)
         machines[count++] = (uint32_t)self;
     for (uint32_t i = 0; i < fleet->count && count < ENDPOINTS_MAX; i++)
-        if (i != self && usable(node, &fleet->machines[i], now))
+        if (i != self && is_usable_gateway(node, &fleet->machines[i], now))
             machines[count++] = i;
     return count;
 }
--- a/src/core/load_targets.c
+++ b/src/core/load_targets.c
@@ -8,11 +8,11 @@
 
 /** Engines of its own region that a gateway hears of, on average: two of those with room are
  * compared for each request. */
-#define NEAR_ENGINES 32
+#define NEAR_ENGINES_PER_GATEWAY 32
 /** Engines of other regions that a gateway hears of, on average: it sends there only what finds no
  *  room at home. Bytes between regions fall with it. */
-#define FAR_ENGINES 10
-#define PAIR_KEY 0x6c6f616473ULL
+#define FAR_ENGINES_PER_GATEWAY 10
+#define PAIR_HASH_SEED 0x6c6f616473ULL
 
 /** Loaders of one region. */
 struct region_loaders {
@@ -59,12 +59,12 @@
 }
 
 /* Whether this pair is among the `wanted` of `available` that the gateway hears of. */
-static bool is_drawn(const struct member_state *gateway, const struct member_state *loader,
-                     uint32_t wanted, uint32_t available)
+static bool is_selected(const struct member_state *gateway, const struct member_state *loader,
+                        uint32_t wanted, uint32_t available)
 {
     if (available <= wanted)
         return true;
-    uint64_t weight = hash_pair(gateway->address ^ PAIR_KEY, loader->address);
+    uint64_t weight = hash_pair(gateway->address ^ PAIR_HASH_SEED, loader->address);
     return weight < UINT64_MAX / available * wanted;
 }
 
@@ -74,8 +74,8 @@
     const struct region_loaders *region = find_region(counts, gateway->region);
     uint32_t near_loaders = region ? region->count : 0;
     if (near)
-        return is_drawn(gateway, loader, NEAR_ENGINES, near_loaders);
-    return is_drawn(gateway, loader, FAR_ENGINES, counts->all - near_loaders);
+        return is_selected(gateway, loader, NEAR_ENGINES_PER_GATEWAY, near_loaders);
+    return is_selected(gateway, loader, FAR_ENGINES_PER_GATEWAY, counts->all - near_loaders);
 }
 
 /* Add the gateways of the own region, or those of all others. \return their number */
--- a/src/core/load_targets.h
+++ b/src/core/load_targets.h
@@ -3,9 +3,10 @@
  *
  * Told to everybody, loads cost the fleet loaders x gateways messages, and most of them cross a
  * link between regions. So each pair of a gateway and a loader is drawn by its hash: a gateway
- * hears of NEAR_ENGINES engines of its own region and of FAR_ENGINES of all others, or of all where
- * there are fewer, whatever the size of the fleet. The draw takes no agreement: it depends on the
- * two addresses and on the number of loaders only, and one more loader moves few pairs.
+ * hears of NEAR_ENGINES_PER_GATEWAY engines of its own region and of FAR_ENGINES_PER_GATEWAY of all
+ * others, or of all where there are fewer, whatever the size of the fleet. The draw takes no
+ * agreement: it depends on the two addresses and on the number of loaders only, and one more loader
+ * moves few pairs.
  */
 #ifndef SHUNTRUN_LOAD_TARGETS_H
 #define SHUNTRUN_LOAD_TARGETS_H
--- a/src/core/route_table.c
+++ b/src/core/route_table.c
@@ -96,7 +96,7 @@
     return index;
 }
 
-struct service_entry *route_table_service_to_fill(struct route_table *table, uint32_t index)
+struct service_entry *route_table_mutable_service(struct route_table *table, uint32_t index)
 {
     return &table->services[index];
 }
@@ -223,7 +223,7 @@
     return NULL;
 }
 
-static bool normal_host(const char *host, char *normal)
+static bool normalize_host(const char *host, char *normal)
 {
     size_t length = strcspn(host, ":");
     if (!length || length >= HOST_SIZE)
@@ -238,7 +238,7 @@
                                       const char *path, size_t path_length)
 {
     char normal[HOST_SIZE];
-    if (!normal_host(host, normal))
+    if (!normalize_host(host, normal))
         return NULL;
     for (size_t length = path_length; length > 0; length--) {
         if (path[length - 1] != '/')
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -17,9 +17,9 @@
 #define ROUTE_NO_SERVICE UINT32_MAX
 
 enum route_kind {
-    ROUTE_REPEATABLE,   /**< may run more than once */
-    ROUTE_UNREPEATABLE, /**< runs at most once for each request id */
-    ROUTE_STREAM,       /**< answered by a series of events */
+    ROUTE_IDEMPOTENT,     /**< may run more than once */
+    ROUTE_NON_IDEMPOTENT, /**< runs at most once for each request id */
+    ROUTE_STREAM,         /**< answered by a series of events */
 };
 
 /** Share of a route's requests that goes to one service. */
@@ -48,15 +48,15 @@
 struct engine_profile {
     char *model; /**< NULL for a plain service */
     uint32_t slots;
-    uint64_t memory_tokens; /**< tokens of context that fit */
+    uint64_t kv_cache_tokens; /**< tokens of context that fit */
     uint32_t layers;
     uint32_t pieces; /**< of the weights of one version */
     uint32_t piece_bytes;
     uint32_t warmup_ms;
     double step_ms;
     double step_ms_per_request;
-    double read_tokens_per_ms;
-    uint32_t usual_prompt; /**< mean tokens of a prompt */
+    double prefill_tokens_per_ms;
+    uint32_t mean_prompt_tokens; /**< mean tokens of a prompt */
 };
 
 struct service_entry {
@@ -88,7 +88,7 @@
 
 /* Filling; strings are copied, indexes are stable. */
 uint32_t route_table_add_service(struct route_table *table, const char *name);
-struct service_entry *route_table_service_to_fill(struct route_table *table, uint32_t index);
+struct service_entry *route_table_mutable_service(struct route_table *table, uint32_t index);
 uint32_t route_table_add_tenant(struct route_table *table, const char *name, uint32_t priority);
 void route_table_add_key(struct route_table *table, uint32_t tenant, const char *key);
 /** \brief Add a route; takes its strings over. */
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -330,7 +330,7 @@
         return;
     struct service_row *row =
         service_counts_row(&router->services, request->service, request->tenant_name);
-    service_row_first_token(row, now - request->arrived);
+    service_row_add_first_token(row, now - request->arrived);
     struct ready_model model;
     snprintf(model.model, sizeof model.model, "%s", answer->model);
     snprintf(model.version, sizeof model.version, "%s", answer->version);
--- a/src/core/service_counts.c
+++ b/src/core/service_counts.c
@@ -27,7 +27,7 @@
     return row;
 }
 
-void service_row_first_token(struct service_row *row, uint64_t microseconds)
+void service_row_add_first_token(struct service_row *row, uint64_t microseconds)
 {
     uint32_t bucket = 0;
     while (bucket < FIRST_TOKEN_BUCKETS && microseconds > first_token_bounds_ms[bucket] * 1000ULL)
--- a/src/core/service_counts.h
+++ b/src/core/service_counts.h
@@ -30,7 +30,7 @@
 
 struct service_row *service_counts_row(struct service_counts *counts, const char *service,
                                        const char *tenant);
-void service_row_first_token(struct service_row *row, uint64_t microseconds);
+void service_row_add_first_token(struct service_row *row, uint64_t microseconds);
 
 /** \brief Append the rows in the Prometheus text format. \return owned text */
 char *service_counts_format(const struct service_counts *counts);
--- a/src/edge/backend_states.c
+++ b/src/edge/backend_states.c
@@ -44,11 +44,12 @@
     struct backend_statement statement = {
         .leaving = head->facts.leaving,
         .backoff_us = answer_backoff_us(&head->facts),
-        .works = answer_meaning(&head->facts) == ANSWER_DELIVERED,
+        .works = classify_answer(&head->facts) == ANSWER_SUCCEEDED,
     };
-    struct backend_change change = backend_pool_hear(edge->pool, backend, &statement, now);
+    struct backend_statement_effect change =
+        backend_pool_apply_statement(edge->pool, backend, &statement, now);
     if (statement.leaving)
-        backend_note_leaving(backend, now);
+        backend_record_leaving(backend, now);
     if (change.now_leaving && !backend->load.leaving)
         log_leaving(backend, "answer", head->request_id);
     if (change.now_backed_off)
@@ -61,7 +62,7 @@
     bool known = before && (before->leaving || before->load.leaving);
     struct backend *backend = backend_pool_report(edge->pool, address, load, cluster_now());
     if (backend && load->leaving)
-        backend_note_leaving(backend, cluster_now());
+        backend_record_leaving(backend, cluster_now());
     if (backend && load->leaving && !known)
         log_leaving(backend, "report", "-");
     return backend != NULL;
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -125,7 +125,7 @@
 {
     struct edge *edge = check->edge;
     metric_add(METRIC_CRASHES, !check->planned);
-    backend_pool_ended(edge->pool, check->backend, cluster_now());
+    backend_pool_mark_down(edge->pool, check->backend, cluster_now());
     log_event(check->planned ? LOG_LEVEL_INFO : LOG_LEVEL_WARN, "crash", "ended",
               "backend=%s born=%" PRIu64 " proof=%s planned=%d requests=%u ended_ms_ago=%" PRIu64,
               check->backend->listing.id, check->backend->listing.born, proof, check->planned,
@@ -271,14 +271,14 @@
     uint64_t began_at = cluster_now() >= sent_at + RUN_LEAST_US ? sent_at : 0;
     if (began_at > check->began_at)
         check->began_at = began_at;
-    check->planned |= backend_end_is_planned(edge->pool, backend, cluster_now());
+    check->planned |= backend_exit_is_planned(edge->pool, backend, cluster_now());
     if (check->planned) {
         check->broken_at = cluster_now();
         log_event(LOG_LEVEL_INFO, "crash", "planned",
                   "request=%s backend=%s draining=%d leaving=%d known_ms=%" PRIu64, request_id,
                   backend->listing.id, backend->listing.draining,
                   backend->leaving || backend->load.leaving,
-                  (cluster_now() - backend->leaves_since) / 1000);
+                  (cluster_now() - backend->leaving_known_since) / 1000);
         return;
     }
     struct lost_run run = {*identity, crash_attempt_key(request_id), cluster_now(), began_at};
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -168,7 +168,7 @@
     weight_relay_tick(edge->relay, now);
     crash_watch_tick(edge, now);
     edge_client_end_blocked(edge);
-    backend_pool_settle(edge->pool, cluster_store_is_sound(&edge->cluster), now);
+    backend_pool_expire(edge->pool, cluster_store_is_sound(&edge->cluster), now);
     sweep_connections(edge, now);
     exchange_dispatch_waiting(edge);
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, edge->active);
@@ -225,14 +225,14 @@
 
 /* What leaves serves on for the bound, from when its list knows: that is some time before this
  * gateway does. */
-static uint64_t serves_on_us(const struct settings *settings)
+static uint64_t min_drain_us(const struct settings *settings)
 {
     return settings->drain_bound_ms * 1000 - DRAIN_MARGIN_US;
 }
 
-static uint64_t unlisted_us(const struct settings *settings)
+static uint64_t unlisted_grace_us(const struct settings *settings)
 {
-    uint64_t bound = serves_on_us(settings);
+    uint64_t bound = min_drain_us(settings);
     return bound < UNLISTED_MOST_US ? bound : UNLISTED_MOST_US;
 }
 
@@ -247,10 +247,10 @@
     struct backend_pool_settings pool = {.queue_per_engine = (uint32_t)settings->engine_queue,
                                          .tokens_per_engine =
                                              (uint32_t)settings->engine_unread_tokens,
-                                         .load_fresh_us = LOAD_FRESH_US,
-                                         .near_fresh_us = NEAR_LOAD_FRESH_US,
-                                         .unlisted_us = unlisted_us(settings),
-                                         .serves_on_us = serves_on_us(settings),
+                                         .max_load_age_us = LOAD_FRESH_US,
+                                         .max_near_load_age_us = NEAR_LOAD_FRESH_US,
+                                         .unlisted_grace_us = unlisted_grace_us(settings),
+                                         .min_drain_us = min_drain_us(settings),
                                          .created = cluster_now()};
     edge->settings = settings;
     edge->loop = uv_default_loop();
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -63,7 +63,7 @@
 static void drop_listing(struct edge *edge, const char *id, const struct state_item *item)
 {
     uint64_t now = cluster_now();
-    struct backend_drop drop = {item->learned, item->from_outage};
+    struct backend_unlisting drop = {item->learned, item->from_outage};
     const struct backend *backend = backend_pool_unlist(edge->pool, id, &drop, now);
     uint64_t until = backend ? backend->unlisted_until : 0;
     log_event(LOG_LEVEL_INFO, "backend", "gone",
@@ -71,7 +71,7 @@
               " from_outage=%d unanswered=%d",
               id, item->revision, (now - item->learned) / 1000,
               until > now ? (until - now) / 1000 : 0, item->from_outage,
-              backend ? (int)backend->unread : -1);
+              backend ? (int)backend->awaiting_first_byte : -1);
 }
 
 /* An entry that names no back end to use is taken like one that went: it may have been good before,
@@ -120,7 +120,7 @@
     struct backend *backend =
         backend_pool_list(edge->pool, &listing, cluster_distance(&edge->cluster, listing.zone));
     if (backend->listing.draining)
-        backend_note_leaving(backend, time_of_news(edge, item));
+        backend_record_leaving(backend, time_of_news(edge, item));
     log_event(LOG_LEVEL_INFO, "backend", "listed",
               "id=%s born=%" PRIu64 " service=%s address=%s zone=%s draining=%d weights=%" PRIu64
               " revision=%" PRIu64 " sequence=%" PRIu64 " age_ms=%" PRIu64
@@ -128,7 +128,7 @@
               id, listing.born, listing.service, listing.address, listing.zone, listing.draining,
               listing.version, item->revision, listing.sequence,
               (cluster_now() - item->learned) / 1000, backend->listing.draining || backend->leaving,
-              backend->in_flight, backend->unread);
+              backend->in_flight, backend->awaiting_first_byte);
 }
 
 /* Entries whose service was not configured yet. */
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -111,7 +111,7 @@
 {
     if (upstream_is_sent(exchange->upstream)) {
         exchange_count_send(exchange);
-        exchange_on_broken(exchange, BACKEND_SILENT, END_SILENT);
+        exchange_on_broken(exchange, BACKEND_TIMED_OUT, END_SILENT);
         return;
     }
     exchange_end_attempt(exchange, BACKEND_UNREACHABLE);
@@ -143,7 +143,7 @@
     bool untouched =
         !exchange->may_have_run && (!exchange->upstream || !upstream_is_sent(exchange->upstream));
     if (exchange->backend && !exchange->first_byte_at)
-        exchange_end_attempt(exchange, BACKEND_SILENT);
+        exchange_end_attempt(exchange, BACKEND_TIMED_OUT);
     exchange_give_up(exchange, untouched ? 503 : 504, END_TIME_OUT);
 }
 
--- a/src/edge/exchange_answer.c
+++ b/src/edge/exchange_answer.c
@@ -82,15 +82,15 @@
     exchange->first_byte_at = cluster_now();
     if (exchange->route->kind == ROUTE_STREAM && !exchange->streaming)
         metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_at - exchange->arrived);
-    backend_answers(exchange->backend, exchange->head.tokens_in,
-                    exchange->first_byte_at - exchange->sent_at, exchange->first_byte_at);
+    backend_request_answered(exchange->backend, exchange->head.tokens_in,
+                             exchange->first_byte_at - exchange->sent_at, exchange->first_byte_at);
 }
 
 static void on_progress(struct exchange *exchange, struct upstream_answer *answer)
 {
     note_first_byte(exchange);
     if (exchange->route->kind != ROUTE_STREAM ||
-        answer_meaning(&answer->head.facts) != ANSWER_DELIVERED)
+        classify_answer(&answer->head.facts) != ANSWER_SUCCEEDED)
         return; /* kept until it is complete */
     if (!exchange->version)
         exchange->version = answer->head.version;
@@ -131,7 +131,7 @@
         return;
     log_event(LOG_LEVEL_WARN, "backend", "replaced", "expected=%s found=%s address=%s",
               backend->listing.id, head->instance, backend->listing.address);
-    backend_pool_replaced(exchange->edge->pool, backend);
+    backend_pool_remove(exchange->edge->pool, backend);
 }
 
 void exchange_on_broken(struct exchange *exchange, enum backend_result result,
@@ -164,7 +164,7 @@
 }
 
 /* The back end did not run it. */
-static void on_not_run(struct exchange *exchange, const struct answer_facts *facts,
+static void on_not_run(struct exchange *exchange, const struct answer_properties *facts,
                        enum backend_result result, enum exchange_end reason)
 {
     exchange_end_attempt(exchange, result);
@@ -204,18 +204,18 @@
 
 static void on_done(struct exchange *exchange, struct upstream_answer *answer)
 {
-    switch (answer_meaning(&answer->head.facts)) {
-    case ANSWER_DELIVERED:
+    switch (classify_answer(&answer->head.facts)) {
+    case ANSWER_SUCCEEDED:
         on_delivered(exchange, answer);
         break;
     case ANSWER_NOT_RUN:
         on_not_run(exchange, &answer->head.facts, BACKEND_REFUSED, END_REFUSED);
         break;
-    case ANSWER_ELSEWHERE:
+    case ANSWER_MISDIRECTED:
         on_misdirected(exchange, &answer->head);
         on_not_run(exchange, &answer->head.facts, BACKEND_CANCELLED, END_MISDIRECTED);
         break;
-    case ANSWER_UNPROVEN:
+    case ANSWER_UNVERIFIED:
         exchange_on_broken(exchange, BACKEND_BROKEN, END_NO_SEAL);
         break;
     case ANSWER_FAILED:
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -118,7 +118,7 @@
 static const char *const result_names[] = {
     [BACKEND_SUCCEEDED] = "succeeded", [BACKEND_ERROR] = "error",
     [BACKEND_REFUSED] = "refused",     [BACKEND_BROKEN] = "broken",
-    [BACKEND_SILENT] = "silent",       [BACKEND_UNREACHABLE] = "unreachable",
+    [BACKEND_TIMED_OUT] = "silent",    [BACKEND_UNREACHABLE] = "unreachable",
     [BACKEND_CANCELLED] = "cancelled",
 };
 
@@ -163,16 +163,16 @@
     if (!backend)
         return;
     if (!exchange->first_byte_at)
-        backend_answers(backend, exchange->head.tokens_in, 0, now);
+        backend_request_answered(backend, exchange->head.tokens_in, 0, now);
     uint64_t latency = exchange->first_byte_at && !exchange->resuming
                            ? exchange->first_byte_at - exchange->sent_at
                            : 0;
-    if (backend_end(exchange->edge->pool, backend, result, latency, now)) {
+    if (backend_request_ended(exchange->edge->pool, backend, result, latency, now)) {
         metric_add(METRIC_EJECTIONS, 1);
         log_event(LOG_LEVEL_WARN, "backend", "ejected",
                   "id=%s request=%s result=%s failures=%u share=%.2f for_ms=%" PRIu64,
                   backend->listing.id, exchange->head.id, result_names[result], backend->failures,
-                  backend->failure_share, backend->ejection_us / MS_US);
+                  backend->failure_rate, backend->ejection_us / MS_US);
     }
     exchange_note(exchange, ",%s;", result_names[result]);
     remember_tried(exchange, backend, result == BACKEND_BROKEN);
--- a/src/edge/exchange_internal.h
+++ b/src/edge/exchange_internal.h
@@ -45,7 +45,7 @@
 /** \return whether the back end ended under the request, for all that is known */
 static inline bool tried_has_ended(const struct tried_backend *tried)
 {
-    return tried->ran && tried->backend->ended_until;
+    return tried->ran && tried->backend->presumed_down_until;
 }
 
 struct exchange {
@@ -134,7 +134,8 @@
 /** \brief Wait for that time; a request that has not begun and cannot wait so long is refused. */
 void exchange_hold_until(struct exchange *exchange, uint64_t moment);
 /** \brief Fill in where a request goes that is under suspicion. */
-void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_wish *wish);
+void exchange_fill_isolation(struct exchange *exchange, uint64_t now,
+                             struct backend_criteria *wish);
 /** \return whether it is not to be sent to a chosen back end now, but waits for a lease on it */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now);
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -81,7 +81,7 @@
     return held_until < now + HELD_LOOK_US ? held_until : now + HELD_LOOK_US;
 }
 
-void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_wish *wish)
+void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_criteria *wish)
 {
     wish->rank_key = exchange_rank_key(exchange);
     const struct crash_entry *entry = wish->rank_key ? exchange_crash_entry(exchange) : NULL;
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -31,7 +31,7 @@
 
 bool exchange_is_repeatable(const struct exchange *exchange)
 {
-    return exchange->route->kind == ROUTE_REPEATABLE ||
+    return exchange->route->kind == ROUTE_IDEMPOTENT ||
            (exchange->route->kind == ROUTE_STREAM && exchange->route->resumable);
 }
 
@@ -58,18 +58,18 @@
                                 exchange->head.tokens_guess);
 }
 
-static void fill_wish(struct exchange *exchange, uint64_t now, struct backend_wish *wish)
+static void fill_wish(struct exchange *exchange, uint64_t now, struct backend_criteria *wish)
 {
-    *wish = (struct backend_wish){
+    *wish = (struct backend_criteria){
         .service = exchange->service->name,
         .engine = exchange->service->engine.model != NULL,
         .tokens = exchange->head.tokens_in,
-        .usual_tokens = exchange->service->engine.usual_prompt,
-        .read_tokens_per_ms = exchange->service->engine.read_tokens_per_ms,
-        .least_version = least_version(exchange, now),
-        .next_version = least_version(exchange, now + VERSION_LEAD_US),
-        .later_version = least_version(exchange, now + VERSION_SLOW_LEAD_US),
-        .exact_version = exchange->resuming ? exchange->version : 0,
+        .mean_prompt_tokens = exchange->service->engine.mean_prompt_tokens,
+        .prefill_tokens_per_ms = exchange->service->engine.prefill_tokens_per_ms,
+        .min_version = least_version(exchange, now),
+        .next_min_version = least_version(exchange, now + VERSION_LEAD_US),
+        .later_min_version = least_version(exchange, now + VERSION_SLOW_LEAD_US),
+        .required_version = exchange->resuming ? exchange->version : 0,
         .coming_version = coming_version(exchange),
         .gateways = exchange->edge->gateways,
         .any_load = exchange->resuming,
@@ -85,10 +85,10 @@
 {
     uint64_t now = cluster_now();
     struct backend *backend = exchange->backend;
-    struct backend_wish wish;
+    struct backend_criteria wish;
     fill_wish(exchange, now, &wish);
     if (now + MS_US > exchange->final_at ||
-        !backend_may_begin(exchange->edge->pool, backend, &wish, now))
+        !backend_may_start_request(exchange->edge->pool, backend, &wish, now))
         return false;
     const struct http_message *request = edge_client_request(exchange->client);
     /* Only a begun stream names a version. Any other may run on a newer one, and an engine that is
@@ -115,7 +115,7 @@
     log_event(LOG_LEVEL_INFO, "request", "sent-unlisted",
               "request=%s backend=%s unlisted_ms=%" PRIu64 " usable_ms=%" PRIu64 " from_outage=%d",
               exchange->head.id, backend->listing.id, (now - backend->unlisted_at) / MS_US,
-              (backend->unlisted_until - now) / MS_US, backend->doubtful);
+              (backend->unlisted_until - now) / MS_US, backend->unlisted_in_outage);
 }
 
 /* While back ends stay full for longer than a caller stays away, one who came back is in time no
@@ -153,7 +153,7 @@
         return;
     }
     uint64_t most_idle =
-        exchange->route->kind == ROUTE_UNREPEATABLE ? UNREPEATABLE_IDLE_US : ANY_IDLE_US;
+        exchange->route->kind == ROUTE_NON_IDEMPOTENT ? UNREPEATABLE_IDLE_US : ANY_IDLE_US;
     exchange_count_place(exchange, true);
     exchange->next_look = 0;
     exchange->state = EXCHANGE_SENT;
@@ -171,7 +171,7 @@
     metric_observe(METRIC_PLACE_WAIT, now - exchange->arrived);
     if (backend->load_at)
         metric_observe(METRIC_LOAD_AGE, now - backend->load_at);
-    backend_begin(backend, exchange->head.tokens_in, now);
+    backend_request_started(backend, exchange->head.tokens_in, now);
     exchange->upstream = upstream_send(exchange->edge, backend, exchange, most_idle);
     if (exchange->upstream)
         exchange_arm(exchange);
@@ -209,7 +209,7 @@
 {
     struct edge *edge = exchange->edge;
     uint64_t now = cluster_now();
-    struct backend_wish wish;
+    struct backend_criteria wish;
     struct backend *backend;
     if (!is_past_doubt(exchange, now))
         return;
@@ -238,13 +238,13 @@
 
 uint64_t exchange_backoff_end(struct exchange *exchange, uint64_t now)
 {
-    struct backend_wish wish;
+    struct backend_criteria wish;
     fill_wish(exchange, now, &wish);
     return backend_pool_backoff_end(exchange->edge->pool, &wish, now);
 }
 
 static enum exchange_end end_without_place(const struct exchange *exchange,
-                                           enum backend_absence absence, uint64_t backoff_end)
+                                           enum backend_choice_result absence, uint64_t backoff_end)
 {
     if (absence == BACKEND_FULL)
         return exchange->held ? END_HELD : END_FULL;
@@ -252,7 +252,7 @@
 }
 
 /* \return whether it ends here, as no back end can be had for it in time */
-static bool is_given_up(struct exchange *exchange, enum backend_absence absence, uint64_t now)
+static bool is_given_up(struct exchange *exchange, enum backend_choice_result absence, uint64_t now)
 {
     uint64_t backoff_end = absence == BACKEND_NONE ? exchange_backoff_end(exchange, now) : 0;
     if (!place_wait_is_over(absence, backoff_end, exchange->wait_until, now) &&
@@ -270,10 +270,11 @@
 static void dispatch_new(struct exchange *exchange)
 {
     uint64_t now = cluster_now();
-    struct backend_wish wish;
+    struct backend_criteria wish;
     struct backend *backend;
     fill_wish(exchange, now, &wish);
-    enum backend_absence absence = backend_pool_choose(exchange->edge->pool, &wish, now, &backend);
+    enum backend_choice_result absence =
+        backend_pool_choose(exchange->edge->pool, &wish, now, &backend);
     if (absence == BACKEND_FOUND) {
         if (exchange_waits_for_lease(exchange, backend, now))
             return;
@@ -305,7 +306,7 @@
 static bool offer_place(struct exchange *exchange)
 {
     uint64_t now = cluster_now();
-    struct backend_wish wish;
+    struct backend_criteria wish;
     struct backend *backend;
     if (exchange_suspicion_pause(exchange, now))
         return false;
@@ -314,7 +315,8 @@
         return !exchange->in_line;
     }
     fill_wish(exchange, now, &wish);
-    enum backend_absence absence = backend_pool_choose(exchange->edge->pool, &wish, now, &backend);
+    enum backend_choice_result absence =
+        backend_pool_choose(exchange->edge->pool, &wish, now, &backend);
     if (absence == BACKEND_NONE)
         return is_given_up(exchange, absence, now);
     if (absence == BACKEND_FULL)
@@ -339,13 +341,13 @@
 {
     struct edge *edge = exchange->edge;
     uint64_t now = cluster_now();
-    struct backend_wish wish;
+    struct backend_criteria wish;
     bool repeats = exchange->upstream && upstream_is_sent(exchange->upstream);
     if (repeats &&
         !repeat_budget_allows(&exchange->state_of_service->budget, now, edge->gateways_most))
         return false;
     fill_wish(exchange, now, &wish);
-    wish.exact_version = exchange->streaming ? exchange->version : 0;
+    wish.required_version = exchange->streaming ? exchange->version : 0;
     wish.any_load = false;
     wish.heard_after = heard_after;
     if (wish.excluded_count < BACKEND_MAX_EXCLUDED)
--- a/tests/core/backend_answer_test.c
+++ b/tests/core/backend_answer_test.c
@@ -3,43 +3,45 @@
 
 #include "core/backend_answer.h"
 
-static struct answer_facts answer(unsigned status, bool sealed, bool not_executed)
+static struct answer_properties answer(unsigned status, bool sealed, bool not_executed)
 {
-    return (struct answer_facts){.status = status, .sealed = sealed, .not_executed = not_executed};
+    return (struct answer_properties){
+        .status = status, .sealed = sealed, .not_executed = not_executed};
 }
 
-static void an_answer_has_one_meaning_for_its_request(void **state)
+static void status_and_headers_decide_the_class_of_an_answer(void **state)
 {
     static const struct {
         unsigned status;
         bool sealed;
         bool not_executed;
-        enum answer_meaning meaning;
+        enum answer_class meaning;
     } table[] = {
-        {200, true, false, ANSWER_DELIVERED}, {204, true, false, ANSWER_DELIVERED},
-        {200, false, false, ANSWER_UNPROVEN}, {500, true, false, ANSWER_FAILED},
-        {404, true, false, ANSWER_FAILED},    {500, false, false, ANSWER_UNPROVEN},
-        {503, false, true, ANSWER_NOT_RUN},   {503, true, true, ANSWER_NOT_RUN},
-        {503, true, false, ANSWER_FAILED},    {503, false, false, ANSWER_UNPROVEN},
-        {429, false, true, ANSWER_NOT_RUN},   {421, false, false, ANSWER_ELSEWHERE},
-        {421, true, true, ANSWER_ELSEWHERE},
+        {200, true, false, ANSWER_SUCCEEDED},   {204, true, false, ANSWER_SUCCEEDED},
+        {200, false, false, ANSWER_UNVERIFIED}, {500, true, false, ANSWER_FAILED},
+        {404, true, false, ANSWER_FAILED},      {500, false, false, ANSWER_UNVERIFIED},
+        {503, false, true, ANSWER_NOT_RUN},     {503, true, true, ANSWER_NOT_RUN},
+        {503, true, false, ANSWER_FAILED},      {503, false, false, ANSWER_UNVERIFIED},
+        {429, false, true, ANSWER_NOT_RUN},     {421, false, false, ANSWER_MISDIRECTED},
+        {421, true, true, ANSWER_MISDIRECTED},
     };
     for (size_t i = 0; i < sizeof table / sizeof table[0]; i++) {
-        struct answer_facts facts = answer(table[i].status, table[i].sealed, table[i].not_executed);
-        assert_int_equal(answer_meaning(&facts), table[i].meaning);
+        struct answer_properties facts =
+            answer(table[i].status, table[i].sealed, table[i].not_executed);
+        assert_int_equal(classify_answer(&facts), table[i].meaning);
     }
 }
 
-static void an_encoding_that_nobody_asked_for_proves_nothing(void **state)
+static void an_unrequested_content_encoding_makes_an_answer_unverified(void **state)
 {
-    struct answer_facts facts = answer(200, true, false);
+    struct answer_properties facts = answer(200, true, false);
     facts.encoded = true;
-    assert_int_equal(answer_meaning(&facts), ANSWER_UNPROVEN);
+    assert_int_equal(classify_answer(&facts), ANSWER_UNVERIFIED);
 }
 
-static void only_a_back_end_that_turns_away_asks_for_a_time_without_requests(void **state)
+static void only_a_503_answer_sets_a_backoff(void **state)
 {
-    struct answer_facts facts = answer(503, false, true);
+    struct answer_properties facts = answer(503, false, true);
     facts.retry_after_ms = 700;
     assert_int_equal(answer_backoff_us(&facts), 700000);
     facts.status = 429;
@@ -53,9 +55,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(an_answer_has_one_meaning_for_its_request),
-        cmocka_unit_test(an_encoding_that_nobody_asked_for_proves_nothing),
-        cmocka_unit_test(only_a_back_end_that_turns_away_asks_for_a_time_without_requests),
+        cmocka_unit_test(status_and_headers_decide_the_class_of_an_answer),
+        cmocka_unit_test(an_unrequested_content_encoding_makes_an_answer_unverified),
+        cmocka_unit_test(only_a_503_answer_sets_a_backoff),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -10,9 +10,9 @@
 
 static const struct backend_pool_settings settings = {.queue_per_engine = 3,
                                                       .tokens_per_engine = 4500,
-                                                      .load_fresh_us = SECOND_US,
-                                                      .near_fresh_us = SECOND_US,
-                                                      .unlisted_us = 2 * SECOND_US};
+                                                      .max_load_age_us = SECOND_US,
+                                                      .max_near_load_age_us = SECOND_US,
+                                                      .unlisted_grace_us = 2 * SECOND_US};
 
 static struct backend_listing listing_of(int number, uint64_t version)
 {
@@ -30,21 +30,21 @@
     return backend_pool_list(pool, &listing, distance);
 }
 
-static struct backend_wish wish_of(void)
+static struct backend_criteria criteria_of(void)
 {
-    return (struct backend_wish){.service = "llm",
-                                 .engine = true,
-                                 .tokens = 1000,
-                                 .usual_tokens = 1000,
-                                 .read_tokens_per_ms = 32,
-                                 .gateways = 1};
+    return (struct backend_criteria){.service = "llm",
+                                     .engine = true,
+                                     .tokens = 1000,
+                                     .mean_prompt_tokens = 1000,
+                                     .prefill_tokens_per_ms = 32,
+                                     .gateways = 1};
 }
 
-static struct backend *choose(struct backend_pool *pool, const struct backend_wish *wish,
+static struct backend *choose(struct backend_pool *pool, const struct backend_criteria *criteria,
                               uint64_t now)
 {
     struct backend *chosen;
-    return backend_pool_choose(pool, wish, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
+    return backend_pool_choose(pool, criteria, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
 }
 
 static void report(struct backend_pool *pool, int number, struct backend_load load, uint64_t now)
@@ -56,34 +56,34 @@
 
 static void unlist(struct backend_pool *pool, bool from_outage, uint64_t now)
 {
-    struct backend_drop drop = {.learned = now, .from_outage = from_outage};
+    struct backend_unlisting drop = {.learned = now, .from_outage = from_outage};
     backend_pool_unlist(pool, "i-1", &drop, now);
 }
 
 static void draining_and_empty_engines_get_nothing(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing leaving = listing_of(1, 1);
     leaving.draining = true;
     backend_pool_list(pool, &leaving, 0);
     add(pool, 2, 0, 0);
-    assert_null(choose(pool, &wish, 1));
+    assert_null(choose(pool, &criteria, 1));
     struct backend *sound = add(pool, 3, 1, 0);
     for (uint64_t now = 1; now < 50; now++)
-        assert_ptr_equal(choose(pool, &wish, now), sound);
+        assert_ptr_equal(choose(pool, &criteria, now), sound);
     backend_pool_destroy(pool);
 }
 
 static void a_dropped_entry_lasts_until_its_time(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
     unlist(pool, false, 8 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 9 * SECOND_US));
-    assert_null(choose(pool, &wish, 10 * SECOND_US));
-    backend_pool_settle(pool, true, 10 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 9 * SECOND_US));
+    assert_null(choose(pool, &criteria, 10 * SECOND_US));
+    backend_pool_expire(pool, true, 10 * SECOND_US);
     assert_int_equal(backend_pool_count(pool), 0);
     backend_pool_destroy(pool);
 }
@@ -91,31 +91,31 @@
 static void what_a_failing_list_drops_is_doubted(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US);
+    backend_pool_expire(pool, false, 8 * SECOND_US);
     unlist(pool, true, 8 * SECOND_US);
-    backend_pool_settle(pool, false, 9 * SECOND_US);
-    backend_pool_settle(pool, false, 11 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 12 * SECOND_US));
+    backend_pool_expire(pool, false, 9 * SECOND_US);
+    backend_pool_expire(pool, false, 11 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 12 * SECOND_US));
     /* It comes back and lists itself again, or it is dropped after all. */
-    backend_pool_settle(pool, true, 13 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 14 * SECOND_US));
-    backend_pool_settle(pool, true, 16 * SECOND_US);
-    assert_null(choose(pool, &wish, 16 * SECOND_US));
+    backend_pool_expire(pool, true, 13 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 14 * SECOND_US));
+    backend_pool_expire(pool, true, 16 * SECOND_US);
+    assert_null(choose(pool, &criteria, 16 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void what_was_lost_meanwhile_is_told_when_the_list_is_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US);
-    backend_pool_settle(pool, true, 9 * SECOND_US);
+    backend_pool_expire(pool, false, 8 * SECOND_US);
+    backend_pool_expire(pool, true, 9 * SECOND_US);
     unlist(pool, true, 9 * SECOND_US + SECOND_US / 5);
-    assert_non_null(choose(pool, &wish, 11 * SECOND_US));
-    assert_null(choose(pool, &wish, 12 * SECOND_US));
+    assert_non_null(choose(pool, &criteria, 11 * SECOND_US));
+    assert_null(choose(pool, &criteria, 12 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -124,14 +124,14 @@
 static void what_a_sound_list_dropped_stays_dropped_when_it_fails(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, true, 8 * SECOND_US);
+    backend_pool_expire(pool, true, 8 * SECOND_US);
     unlist(pool, false, 8 * SECOND_US);
-    backend_pool_settle(pool, false, 9 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 9 * SECOND_US));
-    backend_pool_settle(pool, false, 10 * SECOND_US);
-    assert_null(choose(pool, &wish, 10 * SECOND_US));
+    backend_pool_expire(pool, false, 9 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 9 * SECOND_US));
+    backend_pool_expire(pool, false, 10 * SECOND_US);
+    assert_null(choose(pool, &criteria, 10 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -142,10 +142,10 @@
     begun.created = 8 * SECOND_US;
     struct backend_pool *pool = backend_pool_create(&begun, 1);
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US + 100000);
-    backend_pool_settle(pool, true, 8 * SECOND_US + 400000);
+    backend_pool_expire(pool, false, 8 * SECOND_US + 100000);
+    backend_pool_expire(pool, true, 8 * SECOND_US + 400000);
     unlist(pool, false, 8 * SECOND_US + 600000);
-    backend_pool_settle(pool, true, 10 * SECOND_US + 600000);
+    backend_pool_expire(pool, true, 10 * SECOND_US + 600000);
     assert_int_equal(backend_pool_count(pool), 0);
     backend_pool_destroy(pool);
 }
@@ -157,10 +157,10 @@
     begun.created = 8 * SECOND_US;
     struct backend_pool *pool = backend_pool_create(&begun, 1);
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 14 * SECOND_US);
-    backend_pool_settle(pool, true, 15 * SECOND_US);
+    backend_pool_expire(pool, false, 14 * SECOND_US);
+    backend_pool_expire(pool, true, 15 * SECOND_US);
     unlist(pool, true, 15 * SECOND_US + 100000);
-    backend_pool_settle(pool, true, 16 * SECOND_US);
+    backend_pool_expire(pool, true, 16 * SECOND_US);
     assert_int_equal(backend_pool_count(pool), 1);
     backend_pool_destroy(pool);
 }
@@ -168,25 +168,25 @@
 static void an_engine_that_is_as_silent_is_no_other(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_load load = {.version = 1};
     struct backend *silent = add(pool, 1, 1, 0);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
-    wish.heard_after = SECOND_US;
-    assert_null(choose(pool, &wish, SECOND_US + 1));
-    assert_false(backend_pool_has_room(pool, &wish, SECOND_US + 1));
+    criteria.heard_after = SECOND_US;
+    assert_null(choose(pool, &criteria, SECOND_US + 1));
+    assert_false(backend_pool_has_room(pool, &criteria, SECOND_US + 1));
     silent->last_answer_at = SECOND_US + 1;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US + 2), silent);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US + 2), silent);
     backend_pool_report(pool, "10.0.0.1:80", &load, 2 * SECOND_US);
-    wish.heard_after = 2 * SECOND_US - 1;
-    assert_true(backend_pool_has_room(pool, &wish, 2 * SECOND_US));
+    criteria.heard_after = 2 * SECOND_US - 1;
+    assert_true(backend_pool_has_room(pool, &criteria, 2 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static bool is_used(struct backend_pool *pool)
 {
-    struct backend_wish wish = wish_of();
-    return choose(pool, &wish, SECOND_US) != NULL;
+    struct backend_criteria criteria = criteria_of();
+    return choose(pool, &criteria, SECOND_US) != NULL;
 }
 
 static void take_entry(struct backend_pool *pool, uint64_t born, uint64_t sequence, bool draining)
@@ -213,7 +213,7 @@
 static void that_a_start_leaves_is_final(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_drop drop = {SECOND_US, false};
+    struct backend_unlisting drop = {SECOND_US, false};
     take_entry(pool, 1000, 8, true);
     take_entry(pool, 1000, 9, false);
     assert_false(is_used(pool));
@@ -257,7 +257,7 @@
     take_entry(pool, 0, 7, false);
     assert_false(is_used(pool));
     /* One that is known to have ended says nothing any more: this is the next start. */
-    backend_pool_ended(pool, backend_pool_at(pool, 0), SECOND_US);
+    backend_pool_mark_down(pool, backend_pool_at(pool, 0), SECOND_US);
     take_entry(pool, 0, 1, false);
     assert_true(is_used(pool));
     take_entry(pool, 0, 2, true);
@@ -281,64 +281,64 @@
 static void old_versions_get_nothing_in_time(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    wish.next_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US)); /* soon required, and not at hand there */
+    criteria.next_min_version = 2;
+    assert_null(choose(pool, &criteria, SECOND_US)); /* soon required, and not at hand there */
     report(pool, 1, (struct backend_load){.version = 1, .staged = true}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    wish.least_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    criteria.min_version = 2;
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    wish.exact_version = 1;
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    criteria.required_version = 1;
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void an_engine_on_a_slow_link_gets_no_old_version_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
-    wish.later_version = 2;
+    criteria.later_min_version = 2;
     report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
-    backend_begin(backend, 1000, SECOND_US);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    backend_request_started(backend, 1000, SECOND_US);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     /* Without a prompt answer a moment ago nobody knows. */
-    assert_null(choose(pool, &wish, 3 * SECOND_US));
+    assert_null(choose(pool, &criteria, 3 * SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .link_slow = true}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2, .link_slow = true}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void an_engine_that_stays_silent_gets_nothing_more(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
-    backend_begin(backend, 100, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US + 600000));
-    assert_null(choose(pool, &wish, SECOND_US + 800000));
-    backend_answers(backend, 100, 800000, SECOND_US + 800000);
-    assert_non_null(choose(pool, &wish, SECOND_US + 900000));
+    backend_request_started(backend, 100, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US + 600000));
+    assert_null(choose(pool, &criteria, SECOND_US + 800000));
+    backend_request_answered(backend, 100, 800000, SECOND_US + 800000);
+    assert_non_null(choose(pool, &criteria, SECOND_US + 900000));
     /* It was late: near the bound it gets nothing on the old version. */
-    backend_end(pool, backend, BACKEND_SUCCEEDED, 800000, SECOND_US + 900000);
-    wish.later_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US + 900000));
+    backend_request_ended(pool, backend, BACKEND_SUCCEEDED, 800000, SECOND_US + 900000);
+    criteria.later_min_version = 2;
+    assert_null(choose(pool, &criteria, SECOND_US + 900000));
     backend_pool_destroy(pool);
 }
 
 static void an_engine_that_loads_gets_nothing(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -348,57 +348,58 @@
     struct backend *backend = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
     for (uint32_t i = 0; i < 8; i++) {
-        backend_begin(backend, 1000, SECOND_US);
-        assert_false(backend_end(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 1));
+        backend_request_started(backend, 1000, SECOND_US);
+        assert_false(backend_request_ended(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 1));
     }
-    assert_true(backend->failure_share == 0);
+    assert_true(backend->failure_rate == 0);
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US + 2);
-    backend_begin(backend, 1000, SECOND_US + 2);
-    backend_end(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 3);
-    assert_true(backend->failure_share > 0);
+    backend_request_started(backend, 1000, SECOND_US + 2);
+    backend_request_ended(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 3);
+    assert_true(backend->failure_rate > 0);
     backend_pool_destroy(pool);
 }
 
 static void a_long_stream_goes_where_no_turn_comes_before_its_end(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *turning = add(pool, 1, 1, 0);
     struct backend *other = add(pool, 2, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 800}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 1, .running = 15}, SECOND_US);
-    wish.expected_us = 500000;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), turning);
-    wish.expected_us = 900000;
+    criteria.expected_us = 500000;
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), turning);
+    criteria.expected_us = 900000;
     for (int i = 0; i < 20; i++)
-        assert_ptr_equal(choose(pool, &wish, SECOND_US), other);
+        assert_ptr_equal(choose(pool, &criteria, SECOND_US), other);
     backend_pool_destroy(pool);
 }
 
 static void a_long_stream_goes_to_an_engine_near_its_turn_when_there_is_no_other(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *turning = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 100}, SECOND_US);
-    wish.expected_us = 900000;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), turning);
+    criteria.expected_us = 900000;
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), turning);
     backend_pool_destroy(pool);
 }
 
 static void a_begun_stream_has_somebody_while_an_engine_of_its_version_may_take_it(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
-    wish.exact_version = 1;
-    wish.excluded[wish.excluded_count++] = add(pool, 1, 1, 0);
+    struct backend_criteria criteria = criteria_of();
+    criteria.required_version = 1;
+    criteria.excluded[criteria.excluded_count++] = add(pool, 1, 1, 0);
     add(pool, 2, 2, 0);
     report(pool, 1, (struct backend_load){.version = 1, .running = 19}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 2}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
-    assert_true(backend_pool_may_serve(pool, &wish, SECOND_US)); /* it was tried; it may be again */
+    assert_null(choose(pool, &criteria, SECOND_US));
+    assert_true(
+        backend_pool_may_serve(pool, &criteria, SECOND_US)); /* it was tried; it may be again */
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
-    assert_false(backend_pool_may_serve(pool, &wish, SECOND_US));
+    assert_false(backend_pool_may_serve(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -412,20 +413,20 @@
 static void an_id_that_starts_again_begins_anew(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing first = start_of(1000), second = start_of(2000);
     struct backend *before = backend_pool_list(pool, &first, 0);
     for (int i = 0; i < 4; i++) {
-        backend_begin(before, 1000, SECOND_US);
-        backend_end(pool, before, BACKEND_BROKEN, 0, SECOND_US);
+        backend_request_started(before, 1000, SECOND_US);
+        backend_request_ended(pool, before, BACKEND_BROKEN, 0, SECOND_US);
     }
     first.draining = true;
     backend_pool_list(pool, &first, 0);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     struct backend *after = backend_pool_list(pool, &second, 0);
     assert_int_equal(after->failures, 0);
     assert_int_equal(after->in_flight, 0);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), after);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), after);
     backend_pool_destroy(pool);
 }
 
@@ -444,14 +445,14 @@
 static void a_report_may_tell_of_a_start_before_the_list_does(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend *before = backend_pool_list(pool, &listing, 0);
     struct backend_load empty = {.born = 2000}, late = {.version = 1, .born = 1000};
-    backend_begin(before, 1000, SECOND_US);
+    backend_request_started(before, 1000, SECOND_US);
     struct backend *after = backend_pool_report(pool, listing.address, &empty, SECOND_US);
     assert_int_equal(after->in_flight, 0);
-    assert_null(choose(pool, &wish, SECOND_US)); /* it holds no weights */
+    assert_null(choose(pool, &criteria, SECOND_US)); /* it holds no weights */
     listing.born = 2000;
     assert_ptr_equal(backend_pool_list(pool, &listing, 0), after);
     assert_null(backend_pool_report(pool, listing.address, &late, SECOND_US));
@@ -463,38 +464,38 @@
 static void a_dropped_back_end_is_not_listed_by_a_report(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
     unlist(pool, false, SECOND_US);
     report(pool, 1, later, 2 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 2 * SECOND_US));
+    assert_non_null(choose(pool, &criteria, 2 * SECOND_US));
     report(pool, 1, later, 4 * SECOND_US);
-    assert_null(choose(pool, &wish, 4 * SECOND_US));
+    assert_null(choose(pool, &criteria, 4 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void an_ended_back_end_gets_nothing_until_it_shows_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     struct backend *backend = backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
-    backend_pool_ended(pool, backend, 2);
+    backend_pool_mark_down(pool, backend, 2);
     struct backend *chosen;
-    assert_int_equal(backend_pool_choose(pool, &wish, 3, &chosen), BACKEND_NONE);
-    assert_true(backend_pool_may_serve(pool, &wish, 3)); /* it comes back */
+    assert_int_equal(backend_pool_choose(pool, &criteria, 3, &chosen), BACKEND_NONE);
+    assert_true(backend_pool_may_serve(pool, &criteria, 3)); /* it comes back */
     report(pool, 1, later, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     /* The end was believed by mistake: nothing new is heard. */
-    backend = choose(pool, &wish, SECOND_US);
-    backend_pool_ended(pool, backend, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
-    assert_non_null(choose(pool, &wish, SECOND_US + BACKEND_ENDED_US));
+    backend = choose(pool, &criteria, SECOND_US);
+    backend_pool_mark_down(pool, backend, SECOND_US);
+    assert_null(choose(pool, &criteria, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US + BACKEND_DOWN_US));
     backend_pool_destroy(pool);
 }
 
@@ -502,23 +503,23 @@
 static void an_empty_engine_may_serve_what_it_is_to_hold(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 0, 0);
-    wish.exact_version = 2;
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
-    wish.coming_version = 3;
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
-    wish.coming_version = 2;
-    assert_true(backend_pool_may_serve(pool, &wish, 1));
-    wish.least_version = 3; /* nobody may begin it any more */
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
+    criteria.required_version = 2;
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.coming_version = 3;
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.coming_version = 2;
+    assert_true(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.min_version = 3; /* nobody may begin it any more */
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
     backend_pool_destroy(pool);
 }
 
 static void a_rank_key_takes_same_requests_to_one_back_end(void **state)
 {
     struct backend_pool *pools[2];
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     uint32_t same = 0;
     for (uint32_t i = 0; i < 2; i++) {
         pools[i] = backend_pool_create(&settings, i + 1);
@@ -527,8 +528,9 @@
         for (int number = 1; number <= 12; number++)
             report(pools[i], number, (struct backend_load){.version = 1}, 1);
     }
-    for (wish.rank_key = 1; wish.rank_key <= 100; wish.rank_key++) {
-        struct backend *first = choose(pools[0], &wish, 2), *second = choose(pools[1], &wish, 2);
+    for (criteria.rank_key = 1; criteria.rank_key <= 100; criteria.rank_key++) {
+        struct backend *first = choose(pools[0], &criteria, 2),
+                       *second = choose(pools[1], &criteria, 2);
         assert_string_equal(first->listing.id, second->listing.id);
         same += strcmp(first->listing.id, "i-1") == 0;
     }
@@ -553,18 +555,19 @@
 static void an_entry_that_alone_does_not_date_its_start_is_not_used(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing dated = start_of(1000);
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), undated); /* nobody does on this platform */
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US),
+                     undated); /* nobody does on this platform */
     struct backend *first = backend_pool_list(pool, &dated, 0);
     struct backend_listing other = listing_of(3, 1);
     other.born = 1000;
     backend_pool_list(pool, &other, 0);
     for (int i = 0; i < 20; i++)
-        assert_ptr_not_equal(choose(pool, &wish, SECOND_US), undated);
-    assert_true(backend_may_begin(pool, first, &wish, SECOND_US));
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
+        assert_ptr_not_equal(choose(pool, &criteria, SECOND_US), undated);
+    assert_true(backend_may_start_request(pool, first, &criteria, SECOND_US));
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -572,7 +575,7 @@
 static void an_undated_entry_is_not_used_beside_one_dated_of_a_small_service(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing dated = start_of(1000);
     for (int number = 5; number <= 7; number++) {
         struct backend_listing other = listing_of(number, 1);
@@ -581,76 +584,77 @@
         backend_pool_list(pool, &other, 0);
     }
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_true(backend_may_begin(pool, undated, &wish, SECOND_US)); /* its service may not date */
+    assert_true(backend_may_start_request(pool, undated, &criteria,
+                                          SECOND_US)); /* its service may not date */
     backend_pool_list(pool, &dated, 0);
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
     /* Both dated ones of a service had left, and a request went to where a bad entry led. */
     dated.draining = true;
     backend_pool_list(pool, &dated, 0);
     unlist(pool, false, SECOND_US);
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void prompts_at_one_engine_are_bounded(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .running = 2}, SECOND_US);
     for (uint32_t i = 0; i < 4; i++) {
-        assert_non_null(choose(pool, &wish, SECOND_US));
-        backend_begin(backend, 1000, SECOND_US);
+        assert_non_null(choose(pool, &criteria, SECOND_US));
+        backend_request_started(backend, 1000, SECOND_US);
     }
     struct backend *chosen;
-    assert_int_equal(backend_pool_choose(pool, &wish, SECOND_US, &chosen), BACKEND_FULL);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_int_equal(backend_pool_choose(pool, &criteria, SECOND_US, &chosen), BACKEND_FULL);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     /* A prompt above the bound goes to an engine that reads nothing else. */
-    wish.tokens = 9000;
-    assert_null(choose(pool, &wish, SECOND_US));
+    criteria.tokens = 9000;
+    assert_null(choose(pool, &criteria, SECOND_US));
     for (uint32_t i = 0; i < 3; i++)
-        backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+        backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
 static void engines_near_go_first_until_they_hold_more(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *near = add(pool, 1, 1, 0);
     struct backend *far = add(pool, 2, 1, 2);
     report(pool, 1, (struct backend_load){.version = 1, .running = 3}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 1, .running = 3}, SECOND_US);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), near);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), near);
     report(pool, 1, (struct backend_load){.version = 1, .running = 9, .waiting = 2}, SECOND_US);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), far);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), far);
     backend_pool_destroy(pool);
 }
 
 static void a_failing_back_end_is_ejected_and_probed(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *bad = add(pool, 1, 1, 0);
     struct backend *good = add(pool, 2, 1, 0);
     uint64_t now = SECOND_US;
     for (int i = 0; i < 2; i++) {
-        backend_begin(bad, 1000, SECOND_US);
-        backend_answers(bad, 1000, 100000, SECOND_US);
-        backend_end(pool, bad, BACKEND_BROKEN, 0, now);
+        backend_request_started(bad, 1000, SECOND_US);
+        backend_request_answered(bad, 1000, 100000, SECOND_US);
+        backend_request_ended(pool, bad, BACKEND_BROKEN, 0, now);
     }
     for (int i = 0; i < 50; i++)
-        assert_ptr_equal(choose(pool, &wish, now), good);
+        assert_ptr_equal(choose(pool, &criteria, now), good);
     now += SECOND_US;
-    assert_ptr_equal(choose(pool, &wish, now), bad); /* one request finds out */
-    backend_begin(bad, 1000, SECOND_US);
+    assert_ptr_equal(choose(pool, &criteria, now), bad); /* one request finds out */
+    backend_request_started(bad, 1000, SECOND_US);
     for (int i = 0; i < 50; i++)
-        assert_ptr_equal(choose(pool, &wish, now), good);
-    backend_answers(bad, 1000, 100000, SECOND_US);
-    backend_end(pool, bad, BACKEND_SUCCEEDED, 1000, now);
+        assert_ptr_equal(choose(pool, &criteria, now), good);
+    backend_request_answered(bad, 1000, 100000, SECOND_US);
+    backend_request_ended(pool, bad, BACKEND_SUCCEEDED, 1000, now);
     assert_int_equal(bad->ejected_until, 0);
     backend_pool_destroy(pool);
 }
@@ -659,11 +663,11 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = backend_retain(add(pool, 1, 1, 0));
-    backend_begin(backend, 1000, SECOND_US);
-    backend_pool_replaced(pool, backend);
+    backend_request_started(backend, 1000, SECOND_US);
+    backend_pool_remove(pool, backend);
     assert_false(backend->listed);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    backend_end(pool, backend, BACKEND_CANCELLED, 0, 2);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    backend_request_ended(pool, backend, BACKEND_CANCELLED, 0, 2);
     backend_release(backend);
     backend_pool_destroy(pool);
 }
@@ -675,15 +679,15 @@
     uint32_t begun = 0;
     for (uint32_t gateway = 0; gateway < gateways; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         struct backend *backend;
-        wish.gateways = gateways;
-        wish.tokens = 10;
-        wish.usual_tokens = 10;
+        criteria.gateways = gateways;
+        criteria.tokens = 10;
+        criteria.mean_prompt_tokens = 10;
         add(pool, 1, 1, 0);
         report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
-        while (begun < 1000 && (backend = choose(pool, &wish, SECOND_US))) {
-            backend_begin(backend, 10, SECOND_US);
+        while (begun < 1000 && (backend = choose(pool, &criteria, SECOND_US))) {
+            backend_request_started(backend, 10, SECOND_US);
             begun++;
         }
         backend_pool_destroy(pool);
@@ -698,16 +702,16 @@
     *by_near = 0;
     for (uint32_t gateway = 0; gateway < near_gateways + far_gateways; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         bool near = gateway < near_gateways;
         struct backend_load load = {
             .version = 1, .near_gateways = near_gateways, .far_gateways = far_gateways};
-        wish.gateways = near_gateways + far_gateways;
-        wish.tokens = wish.usual_tokens = 10;
+        criteria.gateways = near_gateways + far_gateways;
+        criteria.tokens = criteria.mean_prompt_tokens = 10;
         struct backend *backend = add(pool, 1, 1, near ? 0 : 2);
         report(pool, 1, load, SECOND_US);
-        while (choose(pool, &wish, SECOND_US)) {
-            backend_begin(backend, 10, SECOND_US);
+        while (choose(pool, &criteria, SECOND_US)) {
+            backend_request_started(backend, 10, SECOND_US);
             begun++;
             *by_near += near;
         }
@@ -736,13 +740,13 @@
     uint32_t sent_to_silent = 0;
     for (uint32_t gateway = 0; gateway < 149; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
-        wish.gateways = 149;
+        struct backend_criteria criteria = criteria_of();
+        criteria.gateways = 149;
         struct backend *silent = add(pool, 1, 1, 0);
         add(pool, 2, 1, 0);
         report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
         report(pool, 2, (struct backend_load){.version = 1, .running = 6}, 3 * SECOND_US);
-        sent_to_silent += choose(pool, &wish, 3 * SECOND_US) == silent;
+        sent_to_silent += choose(pool, &criteria, 3 * SECOND_US) == silent;
         backend_pool_destroy(pool);
     }
     assert_int_equal(sent_to_silent, 0);
@@ -754,15 +758,15 @@
     uint32_t begun = 0;
     for (uint32_t gateway = 0; gateway < 30; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         struct backend_load load = {.version = 1, .near_gateways = 30};
         struct backend *silent = add(pool, 1, 1, 0);
         report(pool, 1, load, SECOND_US);
-        backend_begin(silent, 10, 2 * SECOND_US);
-        backend_answers(silent, 10, 100000, 2 * SECOND_US + 100000);
-        backend_end(pool, silent, BACKEND_SUCCEEDED, 100000, 2 * SECOND_US + 200000);
-        while (choose(pool, &wish, 3 * SECOND_US)) {
-            backend_begin(silent, 10, 3 * SECOND_US);
+        backend_request_started(silent, 10, 2 * SECOND_US);
+        backend_request_answered(silent, 10, 100000, 2 * SECOND_US + 100000);
+        backend_request_ended(pool, silent, BACKEND_SUCCEEDED, 100000, 2 * SECOND_US + 200000);
+        while (choose(pool, &criteria, 3 * SECOND_US)) {
+            backend_request_started(silent, 10, 3 * SECOND_US);
             begun++;
         }
         backend_pool_destroy(pool);
@@ -773,11 +777,11 @@
 static void a_report_of_lost_weights_goes_before_the_list(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 2, 0);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 0}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -786,13 +790,13 @@
     struct backend_pool_settings young = settings;
     young.created = SECOND_US;
     struct backend_pool *pool = backend_pool_create(&young, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *chosen;
     add(pool, 1, 2, 0);
-    assert_int_equal(backend_pool_choose(pool, &wish, SECOND_US + 1000, &chosen), BACKEND_FULL);
-    assert_non_null(choose(pool, &wish, 3 * SECOND_US));
+    assert_int_equal(backend_pool_choose(pool, &criteria, SECOND_US + 1000, &chosen), BACKEND_FULL);
+    assert_non_null(choose(pool, &criteria, 3 * SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US + 2000);
-    assert_non_null(choose(pool, &wish, SECOND_US + 3000));
+    assert_non_null(choose(pool, &criteria, SECOND_US + 3000));
     backend_pool_destroy(pool);
 }
 
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -11,10 +11,10 @@
 
 static const struct backend_pool_settings settings = {.queue_per_engine = 3,
                                                       .tokens_per_engine = 100000,
-                                                      .load_fresh_us = SECOND_US,
-                                                      .near_fresh_us = SECOND_US,
-                                                      .unlisted_us = 2 * SECOND_US,
-                                                      .serves_on_us = 2 * SECOND_US};
+                                                      .max_load_age_us = SECOND_US,
+                                                      .max_near_load_age_us = SECOND_US,
+                                                      .unlisted_grace_us = 2 * SECOND_US,
+                                                      .min_drain_us = 2 * SECOND_US};
 
 static const struct backend_statement leaves = {.leaving = true};
 static const struct backend_statement works = {.works = true};
@@ -39,28 +39,28 @@
     return backend_pool_list(pool, &listing, 0);
 }
 
-static const struct backend_wish wish = {
-    .service = "llm", .engine = true, .tokens = 10, .usual_tokens = 10, .gateways = 1};
+static const struct backend_criteria criteria = {
+    .service = "llm", .engine = true, .tokens = 10, .mean_prompt_tokens = 10, .gateways = 1};
 
 static struct backend *choose(struct backend_pool *pool, uint64_t now)
 {
     struct backend *chosen;
-    return backend_pool_choose(pool, &wish, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
+    return backend_pool_choose(pool, &criteria, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
 }
 
 static bool may_begin(const struct backend_pool *pool, const struct backend *backend, uint64_t now)
 {
-    return backend_may_begin(pool, backend, &wish, now);
+    return backend_may_start_request(pool, backend, &criteria, now);
 }
 
-static bool is_unchanged(struct backend_change change)
+static bool is_unchanged(struct backend_statement_effect change)
 {
     return !change.now_leaving && !change.now_backed_off;
 }
 
 static void unlist(struct backend_pool *pool, bool from_outage, uint64_t now)
 {
-    struct backend_drop drop = {.learned = now, .from_outage = from_outage};
+    struct backend_unlisting drop = {.learned = now, .from_outage = from_outage};
     backend_pool_unlist(pool, "i-1", &drop, now);
 }
 
@@ -69,21 +69,21 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
     assert_ptr_equal(choose(pool, 1), backend);
-    assert_true(backend_pool_hear(pool, backend, &leaves, 2).now_leaving);
-    assert_true(is_unchanged(backend_pool_hear(pool, backend, &leaves, 3)));
-    assert_true(is_unchanged(backend_pool_hear(pool, backend, &works, 4)));
+    assert_true(backend_pool_apply_statement(pool, backend, &leaves, 2).now_leaving);
+    assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &leaves, 3)));
+    assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &works, 4)));
     assert_null(choose(pool, 5));
     assert_false(may_begin(pool, backend, 5));
     assert_ptr_equal(list(pool, 1, 7), backend);
     assert_null(choose(pool, 3600 * SECOND_US));
-    assert_int_equal(backend_pool_backoff_end(pool, &wish, 5), 0);
+    assert_int_equal(backend_pool_backoff_end(pool, &criteria, 5), 0);
     backend_pool_destroy(pool);
 }
 
 static void a_list_that_lapsed_does_not_bring_a_leaving_back_end_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    backend_pool_hear(pool, list(pool, 1, 7), &leaves, 2);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
     unlist(pool, true, 3);
     assert_int_equal(backend_pool_count(pool), 0);
     list(pool, 1, 7);
@@ -98,11 +98,11 @@
         struct backend_pool *pool = backend_pool_create(&settings, 1);
         struct backend *before = backend_retain(list(pool, 1, 7));
         unlist(pool, true, SECOND_US);
-        backend_pool_settle(pool, true, 10 * SECOND_US);
+        backend_pool_expire(pool, true, 10 * SECOND_US);
         assert_int_equal(backend_pool_count(pool), 0);
         if (again_first)
             list(pool, 1, 7);
-        backend_pool_hear(pool, before, &leaves, 11 * SECOND_US);
+        backend_pool_apply_statement(pool, before, &leaves, 11 * SECOND_US);
         list(pool, 1, 7);
         assert_null(choose(pool, 12 * SECOND_US));
         backend_release(before);
@@ -113,11 +113,11 @@
 static void another_start_is_used_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    backend_pool_hear(pool, list(pool, 1, 7), &leaves, 2);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
     struct backend *next = list(pool, 1, 8);
     assert_ptr_equal(choose(pool, 3), next);
     /* Its machine may know of a start before the list does. */
-    backend_pool_hear(pool, next, &leaves, 4);
+    backend_pool_apply_statement(pool, next, &leaves, 4);
     struct backend_load load = {.version = 1, .born = 9};
     assert_non_null(backend_pool_report(pool, "10.0.0.1:80", &load, 5));
     assert_non_null(choose(pool, 6));
@@ -129,15 +129,15 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 0);
     struct backend_load load = {.version = 1};
-    backend_pool_hear(pool, backend, &leaves, 2);
+    backend_pool_apply_statement(pool, backend, &leaves, 2);
     backend_pool_report(pool, "10.0.0.1:80", &load, 3);
     assert_null(choose(pool, 4));
-    backend_pool_ended(pool, backend, 5);
+    backend_pool_mark_down(pool, backend, 5);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
     assert_ptr_equal(choose(pool, SECOND_US), backend);
     /* Nor does it come back with the entry, once that has lapsed. */
     unlist(pool, false, 2 * SECOND_US);
-    backend_pool_settle(pool, true, 9 * SECOND_US);
+    backend_pool_expire(pool, true, 9 * SECOND_US);
     assert_ptr_equal(choose(pool, 9 * SECOND_US), NULL);
     list(pool, 1, 0);
     assert_non_null(choose(pool, 9 * SECOND_US));
@@ -150,10 +150,10 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
-    backend_pool_ended(pool, backend, 2);
+    backend_pool_mark_down(pool, backend, 2);
     assert_ptr_equal(list(pool, 1, 7), backend);
     assert_null(choose(pool, 3));
-    backend_pool_hear(pool, backend, &leaves, 4);
+    backend_pool_apply_statement(pool, backend, &leaves, 4);
     list(pool, 1, 7);
     struct backend_load load = {.version = 1, .born = 7};
     backend_pool_report(pool, "10.0.0.1:80", &load, 5);
@@ -181,13 +181,15 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
     struct backend_statement three = backs_off(3 * SECOND_US), one = backs_off(SECOND_US);
-    assert_true(backend_pool_hear(pool, backend, &three, 0).now_backed_off);
-    assert_true(is_unchanged(backend_pool_hear(pool, backend, &one, SECOND_US)));
-    backend_pool_hear(pool, backend, &works, 2 * SECOND_US); /* an answer to an earlier request */
+    assert_true(backend_pool_apply_statement(pool, backend, &three, 0).now_backed_off);
+    assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &one, SECOND_US)));
+    backend_pool_apply_statement(pool, backend, &works,
+                                 2 * SECOND_US); /* an answer to an earlier request */
     assert_null(choose(pool, 3 * SECOND_US - 1));
     assert_false(may_begin(pool, backend, 3 * SECOND_US - 1));
-    assert_int_equal(backend_pool_backoff_end(pool, &wish, SECOND_US), 3 * SECOND_US);
-    assert_true(backend_pool_hear(pool, backend, &one, 2 * SECOND_US + 1).now_backed_off);
+    assert_int_equal(backend_pool_backoff_end(pool, &criteria, SECOND_US), 3 * SECOND_US);
+    assert_true(
+        backend_pool_apply_statement(pool, backend, &one, 2 * SECOND_US + 1).now_backed_off);
     assert_null(choose(pool, 3 * SECOND_US));
     assert_ptr_equal(choose(pool, 3 * SECOND_US + 1), backend);
     backend_pool_destroy(pool);
@@ -198,9 +200,9 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
     struct backend_statement year = backs_off(31536000 * SECOND_US);
-    backend_pool_hear(pool, backend, &year, 0);
-    assert_null(choose(pool, BACKEND_BACKOFF_MOST_US - 1));
-    assert_non_null(choose(pool, BACKEND_BACKOFF_MOST_US));
+    backend_pool_apply_statement(pool, backend, &year, 0);
+    assert_null(choose(pool, BACKEND_MAX_BACKOFF_US - 1));
+    assert_non_null(choose(pool, BACKEND_MAX_BACKOFF_US));
     backend_pool_destroy(pool);
 }
 
@@ -209,13 +211,13 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
     struct backend_statement one = backs_off(SECOND_US);
-    backend_pool_hear(pool, backend, &one, 0);
+    backend_pool_apply_statement(pool, backend, &one, 0);
     assert_ptr_equal(choose(pool, SECOND_US), backend);
-    backend_begin(backend, 10, SECOND_US);
+    backend_request_started(backend, 10, SECOND_US);
     assert_null(choose(pool, SECOND_US + 1));
-    backend_pool_hear(pool, backend, &works, SECOND_US + 2);
+    backend_pool_apply_statement(pool, backend, &works, SECOND_US + 2);
     assert_ptr_equal(choose(pool, SECOND_US + 3), backend);
-    backend_begin(backend, 10, SECOND_US + 3);
+    backend_request_started(backend, 10, SECOND_US + 3);
     assert_ptr_equal(choose(pool, SECOND_US + 4), backend);
     backend_pool_destroy(pool);
 }
@@ -224,11 +226,11 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement one = backs_off(SECOND_US);
-    backend_pool_hear(pool, list(pool, 1, 7), &one, 0);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &one, 0);
     struct backend *other = list(pool, 2, 7);
     for (uint64_t now = 0; now < 50; now++)
         assert_ptr_equal(choose(pool, now), other);
-    assert_int_equal(backend_pool_backoff_end(pool, &wish, 1), 0);
+    assert_int_equal(backend_pool_backoff_end(pool, &criteria, 1), 0);
     backend_pool_destroy(pool);
 }
 
@@ -239,7 +241,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement three = backs_off(3 * SECOND_US);
-    backend_pool_hear(pool, list(pool, 1, 7), &three, SECOND_US);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &three, SECOND_US);
     struct backend *next = list(pool, 1, 9);
     assert_null(choose(pool, 2 * SECOND_US));
     assert_null(choose(pool, 4 * SECOND_US - 1));
@@ -300,7 +302,7 @@
     uint64_t until = world->now + statement.backoff_us;
     if (statement.backoff_us && until > said->backoff_until)
         said->backoff_until = until;
-    backend_pool_hear(world->pool, backend, &statement, world->now);
+    backend_pool_apply_statement(world->pool, backend, &statement, world->now);
 }
 
 static void step(struct world *world)
@@ -310,7 +312,7 @@
     char address[BACKEND_ADDRESS_SIZE], id[BACKEND_ID_SIZE];
     snprintf(address, sizeof address, "10.0.0.%d:80", number + 1);
     snprintf(id, sizeof id, "i-%d", number + 1);
-    struct backend_drop drop = {world->now, random_below(&world->random, 2)};
+    struct backend_unlisting drop = {world->now, random_below(&world->random, 2)};
     world->now += random_below(&world->random, SECOND_US);
     struct backend *backend = backend_pool_find_address(world->pool, address);
     switch (random_below(&world->random, 11)) {
@@ -325,14 +327,14 @@
         backend_pool_unlist(world->pool, id, &drop, world->now);
         break;
     case 4:
-        backend_pool_settle(world->pool, random_below(&world->random, 2), world->now);
+        backend_pool_expire(world->pool, random_below(&world->random, 2), world->now);
         break;
     case 5:
         backend_pool_report(world->pool, address, &load, world->now);
         break;
     case 6: /* taken for ended, rightly or not */
         if (backend)
-            backend_pool_ended(world->pool, backend, world->now);
+            backend_pool_mark_down(world->pool, backend, world->now);
         break;
     case 7:
     case 8:
@@ -383,14 +385,14 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
-    assert_false(backend_end_is_planned(pool, backend, 100 * SECOND_US));
-    backend_pool_hear(pool, backend, &leaves, 100 * SECOND_US);
-    backend_note_leaving(backend, 100 * SECOND_US);
-    backend_note_leaving(backend, 101 * SECOND_US); /* the first word counts */
-    assert_false(backend_end_is_planned(pool, backend, 102 * SECOND_US - 1));
-    assert_true(backend_end_is_planned(pool, backend, 102 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 100 * SECOND_US));
+    backend_pool_apply_statement(pool, backend, &leaves, 100 * SECOND_US);
+    backend_record_leaving(backend, 100 * SECOND_US);
+    backend_record_leaving(backend, 101 * SECOND_US); /* the first word counts */
+    assert_false(backend_exit_is_planned(pool, backend, 102 * SECOND_US - 1));
+    assert_true(backend_exit_is_planned(pool, backend, 102 * SECOND_US));
     backend = list(pool, 1, 6); /* the next start says nothing */
-    assert_false(backend_end_is_planned(pool, backend, 110 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 110 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -398,9 +400,9 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
-    backend_pool_hear(pool, backend, &leaves, 100 * SECOND_US);
-    backend_note_leaving(backend, 0);
-    assert_true(backend_end_is_planned(pool, backend, 100 * SECOND_US));
+    backend_pool_apply_statement(pool, backend, &leaves, 100 * SECOND_US);
+    backend_record_leaving(backend, 0);
+    assert_true(backend_exit_is_planned(pool, backend, 100 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -409,12 +411,12 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
     unlist(pool, false, 100 * SECOND_US);
-    assert_false(backend_end_is_planned(pool, backend, 101 * SECOND_US));
-    assert_true(backend_end_is_planned(pool, backend, 102 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 101 * SECOND_US));
+    assert_true(backend_exit_is_planned(pool, backend, 102 * SECOND_US));
     backend = list(pool, 1, 5);
-    assert_false(backend_end_is_planned(pool, backend, 103 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 103 * SECOND_US));
     unlist(pool, false, 104 * SECOND_US);
-    assert_false(backend_end_is_planned(pool, backend, 105 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 105 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -423,7 +425,7 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
     unlist(pool, true, 100 * SECOND_US);
-    assert_false(backend_end_is_planned(pool, backend, 110 * SECOND_US));
+    assert_false(backend_exit_is_planned(pool, backend, 110 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
--- a/tests/core/backend_table_test.c
+++ b/tests/core/backend_table_test.c
@@ -32,8 +32,8 @@
         present++;
         assert_ptr_equal(backend_table_find_id(table, all[i]->listing.id), all[i]);
         assert_ptr_equal(backend_table_find_address(table, all[i]->listing.address), all[i]);
-        assert_ptr_equal(group->items[all[i]->group_place], all[i]);
-        assert_int_equal(all[i]->group_place < group->reported, all[i]->load_at != 0);
+        assert_ptr_equal(group->items[all[i]->group_index], all[i]);
+        assert_int_equal(all[i]->group_index < group->reported, all[i]->load_at != 0);
     }
     assert_int_equal(table->count, present);
 }
--- a/tests/core/store_outage_test.c
+++ b/tests/core/store_outage_test.c
@@ -38,7 +38,7 @@
 #define RELIST_MS 2000
 
 static const struct backend_pool_settings pool_settings = {
-    .queue_per_engine = 3, .tokens_per_engine = 4500, .unlisted_us = 1400 * MS_US};
+    .queue_per_engine = 3, .tokens_per_engine = 4500, .unlisted_grace_us = 1400 * MS_US};
 
 /** What happens in one session, in ms. */
 struct script {
@@ -110,7 +110,7 @@
     if (dropped) {
         gateway->learned_at = session->now;
         struct state_loss loss = store_watch_loss(&gateway->watch, false, session->now * MS_US);
-        struct backend_drop drop = {loss.learned, loss.from_outage};
+        struct backend_unlisting drop = {loss.learned, loss.from_outage};
         backend_pool_unlist(gateway->pool, "i-1", &drop, session->now * MS_US);
     }
     store_watch_answered(&gateway->watch, revision, session->now * MS_US);
@@ -157,7 +157,7 @@
     bool sound = somebody_is_sound(session);
     for (uint32_t i = 0; i < GATEWAYS; i++)
         if (session->now % TICK_MS == i)
-            backend_pool_settle(session->gateways[i].pool, sound, session->now * MS_US);
+            backend_pool_expire(session->gateways[i].pool, sound, session->now * MS_US);
 }
 
 static void run_until(struct session *session, uint64_t end)
@@ -168,11 +168,12 @@
 
 static uint32_t count_who_may_send(const struct session *session)
 {
-    static const struct backend_wish wish = {.service = "llm"};
+    static const struct backend_criteria wish = {.service = "llm"};
     uint32_t count = 0;
     for (uint32_t i = 0; i < GATEWAYS; i++) {
         const struct gateway *gateway = &session->gateways[i];
-        count += backend_may_begin(gateway->pool, gateway->engine, &wish, session->now * MS_US);
+        count +=
+            backend_may_start_request(gateway->pool, gateway->engine, &wish, session->now * MS_US);
     }
     return count;
 }
--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -33,7 +33,7 @@
     assert_true(stream->resumable);
     assert_int_equal(stream->gap_ms, 300);
     const struct route *split = route_table_match(table, "b.example", "/x", 2);
-    assert_int_equal(split->kind, ROUTE_UNREPEATABLE);
+    assert_int_equal(split->kind, ROUTE_NON_IDEMPOTENT);
     assert_int_equal(split->target_count, 2);
     const struct service_entry *llm =
         route_table_service(table, route_table_find_service(table, "llm"));
