--- a/src/core/address_index.c
+++ b/src/core/address_index.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAPACITY 64
-/** 2^32 divided by the golden ratio: spreads neighbouring addresses over the table. */
+#define INITIAL_CAPACITY 64
+/** 2^32 divided by the golden ratio: distributes adjacent addresses over the table. */
 #define FIBONACCI_MULTIPLIER 2654435769U
 
 static uint32_t first_slot(const struct address_index *index, uint32_t address)
@@ -15,19 +15,19 @@
     return (hash ^ (hash >> 16)) & (index->capacity - 1);
 }
 
-/* \return the slot of an address, or the free one where it belongs */
+/* \return the slot of an address, or the free slot where it would be inserted */
 static struct address_slot *slot_of(const struct address_index *index, uint32_t address)
 {
-    uint32_t position = first_slot(index, address);
-    while (index->slots[position].address && index->slots[position].address != address)
-        position = (position + 1) & (index->capacity - 1);
-    return &index->slots[position];
+    uint32_t slot = first_slot(index, address);
+    while (index->slots[slot].address && index->slots[slot].address != address)
+        slot = (slot + 1) & (index->capacity - 1);
+    return &index->slots[slot];
 }
 
 static void grow(struct address_index *index)
 {
     struct address_index larger = {.capacity =
-                                       index->capacity ? 2 * index->capacity : FIRST_CAPACITY};
+                                       index->capacity ? 2 * index->capacity : INITIAL_CAPACITY};
     larger.slots = memory_zero(larger.capacity, sizeof *larger.slots);
     for (uint32_t i = 0; i < index->capacity; i++)
         if (index->slots[i].address)
--- a/src/core/address_index.h
+++ b/src/core/address_index.h
@@ -1,15 +1,15 @@
 /**
- * Where in a table the entry of an IPv4 address stands: a hash table with linear probing, so that a
- * look-up costs the same in a fleet of 30 and in one of 4,000.
+ * Maps IPv4 addresses, or other 32-bit keys, to positions in a table: a hash table with linear
+ * probing, so that a look-up costs the same in a fleet of 30 and in one of 4,000 machines.
  *
- * Entries are never taken out one by one; the table is cleared and filled again.
+ * Single entries cannot be removed; the index is cleared and filled again.
  */
 #ifndef SHUNTRUN_ADDRESS_INDEX_H
 #define SHUNTRUN_ADDRESS_INDEX_H
 
 #include <stdint.h>
 
-/** There is no entry. */
+/** Result of a look-up without an entry. */
 #define ADDRESS_INDEX_NONE UINT32_MAX
 
 struct address_slot {
@@ -19,15 +19,15 @@
 
 struct address_index {
     struct address_slot *slots;
-    uint32_t capacity; /**< a power of two, or 0 */
+    uint32_t capacity; /**< number of slots: a power of two, or 0 */
     uint32_t count;
 };
 
-/** \brief Enter a place for an address that is not 0, or change it. */
+/** \brief Insert or replace the position of an address, which must not be 0. */
 void address_index_put(struct address_index *index, uint32_t address, uint32_t position);
-/** \return the place, or ADDRESS_INDEX_NONE */
+/** \return the position, or ADDRESS_INDEX_NONE */
 uint32_t address_index_find(const struct address_index *index, uint32_t address);
-/** \brief Take all entries out; the memory is kept. */
+/** \brief Remove all entries; the memory is kept. */
 void address_index_clear(struct address_index *index);
 void address_index_destroy(struct address_index *index);
 
--- a/src/core/backend_answer.c
+++ b/src/core/backend_answer.c
@@ -1,27 +1,27 @@
 #include "core/backend_answer.h"
 
-#define STATUS_MISDIRECTED 421
-#define STATUS_UNAVAILABLE 503
+#define STATUS_MISDIRECTED_REQUEST 421
+#define STATUS_SERVICE_UNAVAILABLE 503
 
-static bool is_success(const struct answer_properties *facts)
+static bool is_success(const struct answer_properties *answer)
 {
-    return facts->status >= 200 && facts->status < 300;
+    return answer->status >= 200 && answer->status < 300;
 }
 
-enum answer_class classify_answer(const struct answer_properties *facts)
+enum answer_class classify_answer(const struct answer_properties *answer)
 {
-    if (facts->status == STATUS_MISDIRECTED)
+    if (answer->status == STATUS_MISDIRECTED_REQUEST)
         return ANSWER_MISDIRECTED;
-    if (facts->not_executed)
+    if (answer->not_executed)
         return ANSWER_NOT_RUN;
-    if (!facts->sealed || facts->encoded)
+    if (!answer->sealed || answer->encoded)
         return ANSWER_UNVERIFIED;
-    return is_success(facts) ? ANSWER_SUCCEEDED : ANSWER_FAILED;
+    return is_success(answer) ? ANSWER_SUCCEEDED : ANSWER_FAILED;
 }
 
-/* With other statuses the field says when this request may come again: 429 is about its caller, and
- * others would be kept away for his sake. */
-uint64_t answer_backoff_us(const struct answer_properties *facts)
+/* With any other status, Retry-After applies to the request and not to the backend: a 429 limits
+ * one caller, and a backoff would withhold the requests of all other callers, too. */
+uint64_t answer_backoff_us(const struct answer_properties *answer)
 {
-    return facts->status == STATUS_UNAVAILABLE ? facts->retry_after_ms * 1000 : 0;
+    return answer->status == STATUS_SERVICE_UNAVAILABLE ? answer->retry_after_ms * 1000 : 0;
 }
--- a/src/core/backend_answer.h
+++ b/src/core/backend_answer.h
@@ -1,5 +1,6 @@
 /**
- * What an answer of a back end means: for the request that it answers, and of the back end itself.
+ * Classifies the HTTP answer of a backend: what it means for the request, and which backoff it sets
+ * for the backend.
  */
 #ifndef SHUNTRUN_BACKEND_ANSWER_H
 #define SHUNTRUN_BACKEND_ANSWER_H
@@ -7,27 +8,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What an answer says, as far as a decision needs it. */
+/** The parts of an answer's status and headers that decide its class. */
 struct answer_properties {
-    unsigned status;         /**< of HTTP */
-    bool sealed;             /**< it bears the back end's signature */
-    bool not_executed;       /**< the back end promises that it did not run the request */
-    bool encoded;            /**< its body has an encoding that nobody asked for */
-    bool leaving;            /**< the back end says that it is about to end */
-    uint64_t retry_after_ms; /**< for which it asks to be left alone; 0: not said */
+    unsigned status;         /**< HTTP status code */
+    bool sealed;             /**< carries the backend's signature (response seal) */
+    bool not_executed;       /**< the backend guarantees that it did not run the request */
+    bool encoded;            /**< has a content encoding that the request did not accept */
+    bool leaving;            /**< the backend is about to shut down */
+    uint64_t retry_after_ms; /**< Retry-After; 0: not given */
 };
 
-/** What the answer means for its request. */
+/** What an answer means for its request. */
 enum answer_class {
-    ANSWER_SUCCEEDED,   /**< a success that may go to the client */
-    ANSWER_NOT_RUN,     /**< the back end did not run it, and never will */
-    ANSWER_MISDIRECTED, /**< not run: another back end stands there, or it has other weights */
-    ANSWER_UNVERIFIED,  /**< nothing shows that the back end made it: the request may have run */
-    ANSWER_FAILED,      /**< the back end ran it, and says that it failed or cannot be done */
+    ANSWER_SUCCEEDED,   /**< a success that may be forwarded to the client */
+    ANSWER_NOT_RUN,     /**< the backend did not run the request and never will */
+    ANSWER_MISDIRECTED, /**< not run: another backend has this address, or it has other weights */
+    ANSWER_UNVERIFIED,  /**< not proven to come from the backend: the request may have run */
+    ANSWER_FAILED,      /**< the backend ran the request and reports a failure, or rejects it */
 };
 
-enum answer_class classify_answer(const struct answer_properties *facts);
-/** \return time for which the back end wants nothing more from here, microseconds; 0: none */
-uint64_t answer_backoff_us(const struct answer_properties *facts);
+/** \brief Classify an answer by its status and headers. */
+enum answer_class classify_answer(const struct answer_properties *answer);
+/** \return the backoff that the backend asks for, microseconds; 0: none */
+uint64_t answer_backoff_us(const struct answer_properties *answer);
 
 #endif
--- a/src/core/backend_eligibility.c
+++ b/src/core/backend_eligibility.c
@@ -1,9 +1,9 @@
-/* Which back ends may get a request at all: in use, with weights that are allowed, and awake. */
+/* Which backends are eligible for a request: in use, with acceptable weights, and responsive. */
 #include "core/backend_pool_internal.h"
 
-/** Silence after which a model engine gets nothing more until it answers. */
+/** An engine that sends no first byte for this time gets no requests until it answers. */
 #define STALL_TIMEOUT_US 700000
-/** A first byte after this time shows a back end, or a way to it, that is late. */
+/** A first byte after this time shows that the backend, or the network to it, is slow. */
 #define LATE_FIRST_BYTE_US 450000
 
 static uint64_t weights_version(const struct backend_pool *pool, const struct backend *backend,
@@ -13,20 +13,20 @@
                                                        : backend->listing.version;
 }
 
-/* A request was sent a while ago and nothing came back. */
+/* Requests are unanswered, and no first byte has arrived for too long. */
 static bool is_stalled(const struct backend *backend, uint64_t now)
 {
     return backend->awaiting_first_byte && now > backend->awaiting_since + STALL_TIMEOUT_US;
 }
 
-/* What is sent there may begin much later, as far as this gateway's own traffic shows. */
+/* Requests may begin there with a long delay, as far as this gateway's own traffic shows. */
 static bool is_late(const struct backend *backend, uint64_t now)
 {
     return backend->load.link_slow || backend->last_latency_us > LATE_FIRST_BYTE_US ||
            now > backend->last_answer_at + BACKEND_RECENT_ANSWER_US || is_stalled(backend, now);
 }
 
-/* Whether the weights there are new enough, now and for the time that the request may wait. */
+/* Whether the weights there are acceptable now, and will be when a delayed request begins. */
 static bool has_version(const struct backend_pool *pool, const struct backend_criteria *criteria,
                         const struct backend *backend, uint64_t now)
 {
@@ -41,10 +41,11 @@
     return version >= criteria->next_min_version || staged;
 }
 
-/* Back ends tell their starts apart, all of a platform or none: an entry that does not, among
- * others that do, was written by somebody else, and may stand for nobody. Most of its service
- * decide; where that is small, or its dated ones have left, most of all do, as long as some entry
- * of the service ever was dated. */
+/* Either all backends of a platform write their start time (`born`) into their entries or none
+ * does: an entry without it among others with it was written by somebody else, and no backend may
+ * be there. The majority of the service's entries decides; where the service is small, or its
+ * entries with a start time are gone, the majority of all entries does, provided that the service
+ * ever had an entry with a start time. */
 static bool is_untrusted_entry(const struct backend_pool *pool, const struct backend *backend)
 {
     if (backend->listing.born)
@@ -56,7 +57,7 @@
     return 2 * group->dated > group->count || 2 * table->dated > table->count;
 }
 
-/* What it said itself counts before the list, which may lag. */
+/* The backend's own statements override the list, which may lag. */
 static bool is_out_of_use(const struct backend_pool *pool, const struct backend *backend,
                           uint64_t now)
 {
@@ -64,7 +65,7 @@
            backend_unlisting_has_expired(backend, now) || is_untrusted_entry(pool, backend);
 }
 
-static bool has_ended(const struct backend *backend, uint64_t now)
+static bool is_presumed_down(const struct backend *backend, uint64_t now)
 {
     return now < backend->presumed_down_until;
 }
@@ -72,13 +73,13 @@
 bool backend_may_start_request(const struct backend_pool *pool, const struct backend *backend,
                                const struct backend_criteria *criteria, uint64_t now)
 {
-    if (!backend->listed || is_out_of_use(pool, backend, now) || has_ended(backend, now) ||
+    if (!backend->listed || is_out_of_use(pool, backend, now) || is_presumed_down(backend, now) ||
         backend_is_backed_off(backend, now))
         return false;
     return !criteria->engine || has_version(pool, criteria, backend, now);
 }
 
-/* It is empty, and is to get the version that the request needs. */
+/* The engine is empty and is about to load the version that the request needs. */
 static bool awaits_required_version(const struct backend_pool *pool,
                                     const struct backend_criteria *criteria,
                                     const struct backend *backend, uint64_t now)
@@ -121,13 +122,13 @@
     return false;
 }
 
-/* Whether it could take the request, if it wants any now: one that wants none reports itself empty.
- */
+/* Whether the backend could serve the request once its backoff, if any, is over. A backend that is
+ * backed off reports itself empty. */
 static bool is_able_to_serve(const struct backend_pool *pool,
                              const struct backend_criteria *criteria, const struct backend *backend,
                              uint64_t now)
 {
-    if (is_out_of_use(pool, backend, now) || has_ended(backend, now))
+    if (is_out_of_use(pool, backend, now) || is_presumed_down(backend, now))
         return false;
     if (!criteria->engine)
         return true;
@@ -136,7 +137,7 @@
     return !is_loading(pool, backend, now) && !is_stalled(backend, now);
 }
 
-/* One that never reported here may report to others. */
+/* An engine that never reported to this gateway may report to others. */
 static bool is_inactive_since(const struct backend *backend, uint64_t moment)
 {
     return backend->load_at && backend->load_at <= moment && backend->last_answer_at <= moment;
--- a/src/core/backend_health.c
+++ b/src/core/backend_health.c
@@ -1,13 +1,13 @@
-/* What this gateway's own requests show of a back end: how many are there, its speed, its failures.
- */
+/* Load, latency and failures of a backend, as this gateway's own requests show them. */
 #include "core/backend_pool_internal.h"
 
+/** Weights of the newest sample in moving averages. */
 #define RATE_EWMA_WEIGHT 0.15
 #define LATENCY_EWMA_WEIGHT 0.2
 #define FAILURES_BEFORE_EJECTION 2
 #define FIRST_EJECTION_US 500000
 #define MAX_EJECTION_US 4000000
-/** Share of failed requests above which a back end counts as faulty. */
+/** Share of failed requests above which a backend is ejected. */
 #define FAULTY_FAILURE_RATE 0.35
 
 void backend_request_started(struct backend *backend, uint32_t tokens, uint64_t now)
@@ -35,9 +35,9 @@
     backend->tokens_since_report -= tokens;
 }
 
-static void move(double *share, bool hit)
+static void update_rate(double *rate, bool hit)
 {
-    *share += RATE_EWMA_WEIGHT * ((hit ? 1.0 : 0.0) - *share);
+    *rate += RATE_EWMA_WEIGHT * ((hit ? 1.0 : 0.0) - *rate);
 }
 
 static void eject(struct backend *backend, uint64_t now)
@@ -52,8 +52,8 @@
     return result == BACKEND_BROKEN || result == BACKEND_TIMED_OUT || result == BACKEND_UNREACHABLE;
 }
 
-/* An engine that takes other weights may break off what it still runs: that is no fault. */
-static bool is_planned_break(const struct backend_pool *pool, const struct backend *backend,
+/* An engine that loads other weights may abort its running requests, which is not a failure. */
+static bool is_planned_abort(const struct backend_pool *pool, const struct backend *backend,
                              enum backend_result result, uint64_t now)
 {
     return result == BACKEND_BROKEN && backend_has_recent_load(pool, backend, now) &&
@@ -67,15 +67,15 @@
     backend->in_flight--;
     backend->sent_since_report--;
     backend->probing = false;
-    /* Failures take as long as they like: only successes tell how fast it works. */
+    /* Only successes measure the latency: a failure may take any time. */
     if (result == BACKEND_SUCCEEDED && latency_us && backend->latency_us > 0)
         backend->latency_us += LATENCY_EWMA_WEIGHT * ((double)latency_us - backend->latency_us);
     else if (result == BACKEND_SUCCEEDED && latency_us)
         backend->latency_us = (double)latency_us;
-    if (result == BACKEND_CANCELLED || is_planned_break(pool, backend, result, now))
+    if (result == BACKEND_CANCELLED || is_planned_abort(pool, backend, result, now))
         return false;
-    move(&backend->failure_rate, is_failure(result));
-    move(&backend->refusal_rate, result == BACKEND_REFUSED);
+    update_rate(&backend->failure_rate, is_failure(result));
+    update_rate(&backend->refusal_rate, result == BACKEND_REFUSED);
     if (!is_failure(result)) {
         backend->failures = 0;
         if (result == BACKEND_SUCCEEDED) {
--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Back ends that live list themselves again within this time of the return of the list's keeper,
- * as its operators say. */
+/** Live backends list themselves again within this time of the store's recovery, according to
+ *  its operators. */
 #define RELIST_GRACE_US 2000000
 
-/** An engine that reported nothing for so long is no longer among those that report. */
+/** Without a report for this time, an engine no longer counts as one that reports. */
 #define REPORT_EXPIRY_US 10000000
 
 struct backend_pool *backend_pool_create(const struct backend_pool_settings *settings,
@@ -69,7 +69,7 @@
 static struct backend *add(struct backend_pool *pool, const struct backend_listing *listing)
 {
     struct backend *backend = memory_zero(1, sizeof *backend);
-    /* A new start at an address replaces whatever was listed there before. */
+    /* A new entry replaces the one that was listed at its address before. */
     struct backend *before = backend_table_find_address(&pool->table, listing->address);
     if (before)
         remove_backend(pool, before);
@@ -81,7 +81,7 @@
     return backend;
 }
 
-/* \return whether it stands for the listed one still; an id may be used again by another start */
+/* An id may be reused by a later start, at another address or for another service. */
 static bool is_same_start(const struct backend *backend, const struct backend_listing *listing)
 {
     return strcmp(backend->listing.address, listing->address) == 0 &&
@@ -89,9 +89,9 @@
            backend->listing.born == listing->born;
 }
 
-/* Which start has said that it wants nothing is not known where the list names starts late: it may
- * have been this one, whose answers were taken for those of the one before. At worst it gets its
- * first request a little later. */
+/* At an unchanged address the backoff of the earlier start is kept: the list may name a start late,
+ * and the answer that asked for the backoff may already have come from the new one. At worst the
+ * new start gets its first request a little later. */
 static struct backend *replace_start(struct backend_pool *pool, struct backend *before,
                                      const struct backend_listing *listing)
 {
@@ -104,14 +104,14 @@
     return backend;
 }
 
-/* Some writes are done late, after later ones of the same start. */
+/* Writes may be delayed beyond later writes of the same start. */
 static bool is_stale_entry(const struct backend *backend, const struct backend_listing *listing)
 {
     return listing->sequence < backend->listing.sequence;
 }
 
-/* That a start leaves is final. Where starts have no date, an entry that is no older than the one
- * that said so takes it back, and one after a known end is of the next start under the same id. */
+/* Draining is final for a start. Without start times, an entry that is no older than the draining
+ * one revokes it, and an entry after the backend was presumed down belongs to the next start. */
 static bool stays_leaving(const struct backend *backend, const struct backend_listing *listing)
 {
     if (!backend->listing.draining)
@@ -123,12 +123,12 @@
 
 static void update_listing(struct backend *backend, const struct backend_listing *listing)
 {
-    bool late = is_stale_entry(backend, listing);
-    bool leaves = stays_leaving(backend, listing);
-    if (late && (leaves || listing->born))
+    bool stale = is_stale_entry(backend, listing);
+    bool leaving = stays_leaving(backend, listing);
+    if (stale && (leaving || listing->born))
         return;
     backend->listing = *listing;
-    backend->listing.draining |= leaves;
+    backend->listing.draining |= leaving;
 }
 
 struct backend *backend_pool_list(struct backend_pool *pool, const struct backend_listing *listing,
@@ -151,8 +151,9 @@
 }
 
 /*
- * Whether the drop is doubted goes by when it can have happened, not by what is thought of the
- * keeper when the news come: gateways notice an outage late, and what leaves in that time is gone.
+ * `from_outage` tells when the entry can have been lost, not whether the store works when the
+ * change arrives: gateways notice an outage late, and backends that leave until then are really
+ * gone.
  */
 const struct backend *backend_pool_unlist(struct backend_pool *pool, const char *id,
                                           const struct backend_unlisting *drop, uint64_t now)
@@ -209,7 +210,7 @@
     backend->presumed_down_until = now + BACKEND_DOWN_US;
 }
 
-/* What the list says holds, also when the back end's clock was set back between two starts. */
+/* The listed start counts as current even if the backend's clock was set back before it. */
 static bool is_of_earlier_start(const struct backend *backend, const struct backend_load *load)
 {
     return load->born && load->born < backend->listing.born && load->born != backend->listed_born;
@@ -220,8 +221,8 @@
     return backend->listing.born && load->born > backend->listing.born;
 }
 
-/* The list does not know of this start yet: nothing that was learned of the earlier one holds, but
- * what the list itself said last: one that it had dropped is not listed by starting again. */
+/* The list does not name this start yet. State learned from the earlier start is discarded, except
+ * the listing: a backend that was unlisted does not become listed by a restart. */
 static struct backend *begin_start(struct backend_pool *pool, struct backend *before, uint64_t born)
 {
     struct backend_listing listing = before->listing;
--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -1,8 +1,11 @@
 /**
- * The back ends that requests may be sent to directly: what the platform lists, what their machines
- * report of their load, and what this gateway's own traffic shows of their health.
+ * The backends that a gateway may send requests to directly: what the platform's backend list says,
+ * the load that their machines report, and their health as this gateway's own requests show it.
  *
- * Nothing here has a clock or a socket. Times are microseconds of a clock that does not step back.
+ * A backend id outlives one process: each run of the process is called a start of the backend, and
+ * is told apart by its start time (`born`) where the list gives one.
+ *
+ * This module does no I/O and reads no clock. Times are microseconds of a monotonic clock.
  */
 #ifndef SHUNTRUN_BACKEND_POOL_H
 #define SHUNTRUN_BACKEND_POOL_H
@@ -16,263 +19,261 @@
 #define BACKEND_NAME_SIZE 64
 #define BACKEND_ADDRESS_SIZE 24
 
-/** What the platform's list says of one back end. */
+/** Entry of the platform's backend list. */
 struct backend_listing {
-    char id[BACKEND_ID_SIZE]; /**< may be used again by a later start */
-    uint64_t born; /**< tells starts under one id apart, by the back end's own clock: only
-                        equality and order count; 0: not said */
+    char id[BACKEND_ID_SIZE]; /**< a later start may use the same id */
+    uint64_t born; /**< start time by the backend's own clock, 0: not given; tells starts under one
+                        id apart, so only equality and order count */
     char service[BACKEND_NAME_SIZE];
     char address[BACKEND_ADDRESS_SIZE]; /**< "IP:PORT" */
     char zone[BACKEND_NAME_SIZE];
-    uint32_t slots;    /**< requests that it works on at once */
-    bool draining;     /**< it leaves and takes no new work */
-    bool has_weights;  /**< the list names a model */
+    uint32_t slots;    /**< requests that the backend runs concurrently */
+    bool draining;     /**< the backend is leaving and accepts no new requests */
+    bool has_weights;  /**< the entry names a model */
     uint64_t version;  /**< of the weights; 0: none */
-    uint64_t sequence; /**< rises with each entry that one start writes; 0: not said */
+    uint64_t sequence; /**< increases with each entry that one start writes; 0: not given */
 };
 
-/** Load as the machine of a model engine reports it. */
+/** Load report from the machine of a model engine. */
 struct backend_load {
     uint32_t running;
     uint32_t waiting;
     uint64_t memory_used; /**< in units of `memory_total` */
     uint64_t memory_total;
-    uint64_t born;          /**< of the start that reports; 0: not said */
+    uint64_t born;          /**< start time of the reporting start; 0: not given */
     uint64_t version;       /**< of the weights; 0: none */
-    bool loading;           /**< it takes nothing new until it has other weights */
-    bool staged;            /**< it has all of a newer version at hand */
-    bool link_slow;         /**< its link is narrow: what is sent there may arrive late */
-    uint32_t pace_permille; /**< above 1000: slower than it should be */
-    uint32_t near_gateways; /**< gateways of the engine's region that hear of it */
-    uint32_t far_gateways;  /**< gateways of other regions that do; both 0: not known */
-    uint32_t turn_ms;       /**< until it takes nothing new, as other weights come; 0: not known */
-    bool leaving;           /**< it told its machine that it is about to end */
+    bool loading;           /**< accepts no requests until other weights are loaded */
+    bool staged;            /**< a newer version is completely downloaded */
+    bool link_slow;         /**< its network link is slow: requests may arrive late */
+    uint32_t pace_permille; /**< above 1000: slower than nominal */
+    uint32_t near_gateways; /**< gateways of the engine's region that get its load reports */
+    uint32_t far_gateways;  /**< the same in other regions; both 0: not known */
+    uint32_t turn_ms; /**< until it stops accepting requests to load other weights; 0: not known */
+    bool leaving;     /**< the engine told its machine that it is about to shut down */
 };
 
-/** How one request at a back end ended, as far as its health is concerned. */
+/** How one request to a backend ended, as far as the backend's health is concerned. */
 enum backend_result {
     BACKEND_SUCCEEDED,
-    BACKEND_ERROR,       /**< an answer that reports a failure of its own */
-    BACKEND_REFUSED,     /**< not run: it is full */
-    BACKEND_BROKEN,      /**< connection lost, or bytes that are no answer */
-    BACKEND_TIMED_OUT,   /**< nothing came in time */
-    BACKEND_UNREACHABLE, /**< no connection came up */
-    BACKEND_CANCELLED,   /**< given up here; says nothing of the back end */
+    BACKEND_ERROR,       /**< an answer that reports a failure of the backend */
+    BACKEND_REFUSED,     /**< not run: the backend is full */
+    BACKEND_BROKEN,      /**< connection lost, or invalid bytes */
+    BACKEND_TIMED_OUT,   /**< no answer in time */
+    BACKEND_UNREACHABLE, /**< no connection was established */
+    BACKEND_CANCELLED,   /**< cancelled by this gateway; says nothing about the backend */
 };
 
 struct backend {
-    struct backend_listing listing; /**< `born`: of the latest start that is known of */
-    uint64_t listed_born;           /**< as the list says */
-    uint32_t references;            /**< of the pool, of requests and of connections */
-    bool listed;                    /**< false: the list has dropped it */
-    uint64_t unlisted_at;         /**< time at which this gateway heard that the list dropped it */
-    uint64_t unlisted_until;      /**< dropped by the list, but usable until then; 0: listed */
-    bool unlisted_in_outage;      /**< dropped by an outage of the list's keeper, perhaps */
-    uint64_t presumed_down_until; /**< believed to have ended, until then; 0: not */
-    bool leaving;                 /**< it said in an answer that it is about to end */
-    bool leaving_recorded;        /**< `leaving_known_since` was set */
-    uint64_t
-        leaving_known_since; /**< it is known since then that it leaves; 0: not known since when */
-    uint64_t backoff_until;  /**< it asked in an answer to get nothing until then; 0: it did not */
-    uint16_t distance;       /**< 0 same zone, 1 same region, 2 other region */
-    uint32_t in_flight;      /**< requests of this gateway */
-    uint32_t awaiting_first_byte;   /**< those of them that have no byte of an answer yet */
-    uint64_t pending_prompt_tokens; /**< of their prompts */
-    uint64_t awaiting_since;        /**< last time that one of them was begun alone or answered */
-    uint64_t last_answer_at;        /**< time of the last first byte, 0: none yet */
-    uint64_t last_latency_us;       /**< time to the first byte of the last answer, 0: not known */
+    struct backend_listing listing; /**< `born` is that of the latest known start */
+    uint64_t listed_born;           /**< `born` as the list gives it */
+    uint32_t references;            /**< held by the pool, requests and connections */
+    bool listed;                    /**< false once the pool has removed it */
+    uint64_t unlisted_at;           /**< time at which this gateway learned of the unlisting */
+    uint64_t unlisted_until;        /**< end of the grace period after an unlisting; 0: listed */
+    bool unlisted_in_outage;        /**< a store outage may have caused the unlisting */
+    uint64_t presumed_down_until;   /**< 0: not presumed down */
+    bool leaving;                   /**< an answer said that it is about to shut down */
+    bool leaving_recorded;          /**< `leaving_known_since` was set */
+    uint64_t leaving_known_since;   /**< first time it was known to be leaving; 0: not known */
+    uint64_t backoff_until;         /**< end of the backoff that it asked for; 0: none */
+    uint16_t distance;              /**< 0 same zone, 1 same region, 2 other region */
+    uint32_t in_flight;             /**< requests of this gateway */
+    uint32_t awaiting_first_byte;   /**< those of them without a first byte of an answer */
+    uint64_t pending_prompt_tokens; /**< prompt tokens of those */
+    uint64_t awaiting_since;  /**< last time one of them was answered, or began with no other */
+    uint64_t last_answer_at;  /**< time of the last first byte; 0: none yet */
+    uint64_t last_latency_us; /**< time to first byte of the last answer; 0: not known */
     struct backend_load load;
-    uint64_t load_at;              /**< time of the report, 0: none */
-    uint64_t turn_at;              /**< it takes nothing new from then on; 0: not known */
-    int32_t sent_since_report;     /**< own requests begun less ended since the report */
-    uint32_t started_since_report; /**< own requests begun since the report */
-    double rounding_draw;          /**< drawn at the report: decides on a part of a place */
-    int64_t tokens_since_report;   /**< of own prompts begun less first answered since the report */
-    uint32_t failures;             /**< in a row */
-    double failure_rate;           /**< moving share of requests that failed */
-    double refusal_rate;           /**< moving share of requests that it refused */
-    double latency_us;             /**< moving time to the first byte of an answer, 0: not known */
-    uint64_t ejected_until;        /**< no new work before, but for one probe */
-    uint64_t ejection_us;          /**< length of the present ejection */
-    bool probing;                  /**< the one request after an ejection is under way */
-    void *connections;             /**< the shell's own */
-    uint32_t table_index;          /**< in the table of the pool */
-    uint32_t group_index;          /**< among the back ends of its service */
+    uint64_t load_at;              /**< time of the load report; 0: none */
+    uint64_t turn_at;              /**< it accepts no requests from then on; 0: not known */
+    int32_t sent_since_report;     /**< own requests started minus ended since the report */
+    uint32_t started_since_report; /**< own requests started since the report */
+    double rounding_draw;          /**< in [0, 1), per report: rounds a fractional slot share */
+    int64_t tokens_since_report;   /**< own prompt tokens started minus answered since the report */
+    uint32_t failures;             /**< consecutive */
+    double failure_rate;           /**< EWMA of the share of failed requests */
+    double refusal_rate;           /**< EWMA of the share of refused requests */
+    double latency_us;             /**< EWMA of the time to first byte; 0: not known */
+    uint64_t ejected_until;        /**< gets no requests before, and then one probe first */
+    uint64_t ejection_us;          /**< length of the current ejection */
+    bool probing;                  /**< the probe request is in flight */
+    void *connections;             /**< owned by the I/O layer */
+    uint32_t table_index;          /**< in the pool's table */
+    uint32_t group_index;          /**< among the backends of its service */
 };
 
 struct backend_pool;
 
 struct backend_pool_settings {
-    uint32_t queue_per_engine;  /**< requests beyond its slots that a model engine may hold */
-    uint32_t tokens_per_engine; /**< of prompts that an engine may still have to read */
-    uint64_t max_load_age_us;   /**< older reports of load are not used */
-    uint64_t
-        max_near_load_age_us;   /**< the same for engines of the own region, which report oftener */
-    uint64_t unlisted_grace_us; /**< for which a back end that the list drops stays usable */
-    uint64_t min_drain_us;      /**< for which a back end serves at least, once it leaves */
-    uint64_t created;           /**< time at which this gateway began, 0: long ago */
+    uint32_t queue_per_engine;     /**< requests an engine may hold beyond its slots */
+    uint32_t tokens_per_engine;    /**< prompt tokens that may be pending at an engine */
+    uint64_t max_load_age_us;      /**< older load reports are not used */
+    uint64_t max_near_load_age_us; /**< the same for the own region, which reports more often */
+    uint64_t unlisted_grace_us;    /**< time for which an unlisted backend stays usable */
+    uint64_t min_drain_us;         /**< a leaving backend serves for at least this time */
+    uint64_t created;              /**< time at which this gateway started; 0: long ago */
 };
 
 struct backend_pool *backend_pool_create(const struct backend_pool_settings *settings,
                                          uint64_t seed);
 void backend_pool_destroy(struct backend_pool *pool);
 
-/** \brief Take a listing in, new or changed. \return the back end */
+/** \brief Add a backend, or update it from its new listing. \return the backend */
 struct backend *backend_pool_list(struct backend_pool *pool, const struct backend_listing *listing,
                                   uint16_t distance);
-/** What is known of when the list dropped a back end. */
+/** When and how an entry disappeared from the list. */
 struct backend_unlisting {
-    uint64_t learned; /**< time at which a gateway first knew of it */
-    bool from_outage; /**< the list's keeper may have lost the entry in an outage */
+    uint64_t learned; /**< time at which the first gateway learned of it */
+    bool from_outage; /**< the store may have lost the entry in an outage */
 };
 
 /**
- * \brief The list has dropped a back end. It stays usable for `unlisted_grace_us`, as the list may
- * drop back ends that live and list them again; one that said it leaves is dropped at once. What an
- * outage of the list's keeper dropped stays until its back end had the time to list itself again.
- * \return the back end, or NULL when it gets nothing more at once
+ * \brief Handle the removal of a backend from the list. It stays usable for `unlisted_grace_us`, as
+ * a list may drop live backends and list them again; one that is known to be leaving is removed at
+ * once. One that a store outage may have dropped stays until it had time to list itself again.
+ * \return the backend, or NULL when it gets no further requests
  */
 const struct backend *backend_pool_unlist(struct backend_pool *pool, const char *id,
                                           const struct backend_unlisting *drop, uint64_t now);
 /**
- * \brief Drop what was unlisted and did not come back in time.
- * \param sound false while the list's keeper fails: what an outage dropped then stays, as its back
- * end cannot list itself again
+ * \brief Remove unlisted backends whose grace period is over.
+ * \param sound false while the store fails: backends dropped in the outage then stay, as they
+ * cannot list themselves again
  */
 void backend_pool_expire(struct backend_pool *pool, bool sound, uint64_t now);
-/** \brief The back end at an address is no longer the listed one. */
+/** \brief Remove a backend: another process has its address. */
 void backend_pool_remove(struct backend_pool *pool, struct backend *backend);
-/** A back end that is believed to have ended gets nothing for so long, unless it shows again: one
- *  that crashed is back after some seconds, and one that only seemed to have ended loses no more.
+/** A backend that is presumed down gets no requests for this long unless it shows up again: after a
+ *  crash it is back within seconds, and a live one that was presumed down loses no more than this.
  */
 #define BACKEND_DOWN_US ((uint64_t)3000000)
-/** What a back end says of itself in an answer. */
+/** What a backend states about itself in an answer. */
 struct backend_statement {
-    bool leaving;        /**< it is about to end */
-    uint64_t backoff_us; /**< for which it wants nothing more from here; 0: not said */
-    bool works;          /**< it has run a request to a success, or begun to */
+    bool leaving;        /**< it is about to shut down */
+    uint64_t backoff_us; /**< time for which it asks for no requests from here; 0: none */
+    bool works;          /**< it has completed a request successfully, or begun to answer one */
 };
 
 /** What a statement changed. */
 struct backend_statement_effect {
-    bool now_leaving;    /**< it was not known that it leaves */
-    bool now_backed_off; /**< it is left alone for a first or a longer time */
+    bool now_leaving;    /**< it was not known to be leaving */
+    bool now_backed_off; /**< a backoff has begun or was extended */
 };
 
-/** Longer times than an hour are cut to it: whoever asks for more is asked again then. */
+/** Longer backoffs are cut to an hour; the backend can ask again then. */
 #define BACKEND_MAX_BACKOFF_US ((uint64_t)3600000000)
 /**
- * \brief Take in what a back end says of itself. Both facts are of its start, and no list takes
- * them back: that it leaves holds until another start shows, the time off as long as it was asked
- * for, also where the list names another start meanwhile. Afterwards it gets one request at a time
- * until it works. \return what is new
+ * \brief Apply what a backend states about itself. Statements hold for its start, and no list entry
+ * revokes them: `leaving` holds until another start is known, a backoff for as long as requested,
+ * also when the list names another start in the meantime. After a backoff the backend gets one
+ * request at a time until one works. \return what has changed
  */
 struct backend_statement_effect
 backend_pool_apply_statement(struct backend_pool *pool, struct backend *backend,
                              const struct backend_statement *statement, uint64_t now);
-/** \brief It is known that this start leaves. \param since 0: not known since when */
+/** \brief Record that this start is leaving; the first call counts. \param since 0: not known */
 void backend_record_leaving(struct backend *backend, uint64_t since);
-/** \return whether an end of this start now is the one that it, or the list, had announced */
+/** \return whether an exit of this start now would be one that it, or the list, had announced */
 bool backend_exit_is_planned(const struct backend_pool *pool, const struct backend *backend,
                              uint64_t now);
-/** \brief This start has ended without a word; the list may name another one meanwhile. */
+/** \brief Presume this start down: it exited unannounced. The list may name another start since. */
 void backend_pool_mark_down(struct backend_pool *pool, struct backend *backend, uint64_t now);
 /**
- * \brief Take a report of load in. A report of a later start than the listed one begins that start
- * anew; one of an earlier start is late, and left out.
- * \return the back end, or NULL when none is listed there, or the report is late
+ * \brief Apply a load report. A report of a later start than the listed one replaces the backend by
+ * that start; one of an earlier start is outdated and ignored.
+ * \return the backend, or NULL when none has this address or the report is outdated
  */
 struct backend *backend_pool_report(struct backend_pool *pool, const char *address,
                                     const struct backend_load *load, uint64_t now);
 
-/** \return the back end that is listed at an address, or NULL */
+/** \return the backend that is listed at an address, or NULL */
 struct backend *backend_pool_find_address(const struct backend_pool *pool, const char *address);
 uint32_t backend_pool_count(const struct backend_pool *pool);
 struct backend *backend_pool_at(const struct backend_pool *pool, uint32_t index);
 struct backend *backend_retain(struct backend *backend);
-/** \brief Let go; a back end that nobody holds is freed. */
+/** \brief Drop a reference; the last one frees the backend. */
 void backend_release(struct backend *backend);
 
 #define BACKEND_MAX_EXCLUDED 4
 
+/** What one request needs of a backend. */
 struct backend_criteria {
     const char *service;
-    bool engine;                  /**< of a model, with load reports */
-    uint32_t tokens;              /**< of this request's prompt */
-    uint32_t mean_prompt_tokens;  /**< of a prompt of others */
-    double prefill_tokens_per_ms; /**< rate at which an engine reads prompts */
+    bool engine;                  /**< the service runs model engines, which report their load */
+    uint32_t tokens;              /**< prompt tokens of this request */
+    uint32_t mean_prompt_tokens;  /**< prompt tokens of the service's average request */
+    double prefill_tokens_per_ms; /**< rate at which an engine processes prompts */
     uint64_t min_version;         /**< of the weights; 0: any */
-    uint64_t next_min_version; /**< required soon: only engines that have it at hand may be older */
-    uint64_t
-        later_min_version; /**< required in a while: engines on slow links must have it already */
-    uint64_t required_version; /**< of the weights; 0: any */
-    uint64_t coming_version;   /**< that empty engines are about to get; 0: not known */
+    uint64_t next_min_version;    /**< minimum soon: older engines need it downloaded already */
+    uint64_t later_min_version;   /**< minimum later: engines that may be late need it already */
+    uint64_t required_version;    /**< of the weights; 0: any */
+    uint64_t coming_version;      /**< that empty engines are about to load; 0: not known */
     const struct backend *excluded[BACKEND_MAX_EXCLUDED];
     uint32_t excluded_count;
-    uint32_t gateways; /**< that send to the same back ends */
-    bool any_load;     /**< also to one that is full */
-    /** Time that the request is expected to take; 0: not known. An engine that is to run empty
-     *  sooner gets it only if there is no other: its other places would stay empty meanwhile. */
+    uint32_t gateways; /**< that send to the same backends */
+    bool any_load;     /**< full backends are accepted, too */
+    /** Expected duration of the request; 0: not known. An engine that stops for other weights
+     *  before gets it only if there is no other: its other slots would idle until the request ends.
+     */
     uint64_t expected_us;
-    /** Not 0: an engine whose last report or answer is not younger than this is as silent as the
-     * one that the request would leave for it. */
+    /** Not 0: an engine with no report or answer after this time is ruled out, as it is as silent
+     *  as the one that the request would leave. */
     uint64_t heard_after;
-    /** Not 0: of the back ends with room the first by rendezvous weight for this key gets it. Same
-     *  requests meet at one back end then, and others rarely do. */
+    /** Not 0: rendezvous hashing with this key selects among the backends with room, so that
+     *  identical requests meet at one backend and others rarely do. */
     uint64_t rank_key;
-    /** With a rank key: starts of back ends at which other requests run apart from those that may
-     *  crash back ends (crash_start_key()). */
+    /** With a rank key: starts (crash_start_key()) at which other requests run in isolation, as
+     * they may crash a backend, or have precedence to. */
     const uint64_t *barred_starts;
     uint32_t barred_count;
-    bool isolated; /**< it must not run there, they count as full; else it goes there last */
-    uint64_t leased_start; /**< that it goes to before all others; 0: none */
+    bool isolated;         /**< barred starts count as full; if false, they are the last choice */
+    uint64_t leased_start; /**< preferred to all others; 0: none */
 };
 
 enum backend_choice_result {
     BACKEND_FOUND,
-    BACKEND_NONE, /**< none is fit at all */
-    BACKEND_FULL, /**< those that are fit have no room */
+    BACKEND_NONE, /**< no backend is eligible */
+    BACKEND_FULL, /**< no eligible backend has room */
 };
 
-/** \brief Choose a back end for one request. */
+/** \brief Choose a backend for one request. */
 enum backend_choice_result backend_pool_choose(struct backend_pool *pool,
                                                const struct backend_criteria *criteria,
                                                uint64_t now, struct backend **chosen);
-/** \return whether a back end that is not ejected has room for the request */
+/** \return whether an eligible backend that needs no probe has room for the request */
 bool backend_pool_has_room(struct backend_pool *pool, const struct backend_criteria *criteria,
                            uint64_t now);
 /**
- * \return time at which a back end may be asked again, where all that could take the request want
- * nothing for a while, those that the wish leaves out too; 0: some may be asked now, or there are
- * none
+ * \return end of the first backoff, when all backends that could serve the request are backed off,
+ * also those that `excluded` names; 0: one of them is not, or there are none
  */
 uint64_t backend_pool_backoff_end(const struct backend_pool *pool,
                                   const struct backend_criteria *criteria, uint64_t now);
-/** \return whether some back end could run the request once it has a place, is no longer ejected,
- * answers again, is back after an end, wants requests again or has got the weights that are on
- * their way; those that the wish leaves out count too */
+/** \return whether some backend could serve the request after a wait: for a slot, for the end of an
+ * ejection, a backoff or a presumed outage, for an answer, or for weights that it is about to load;
+ * also one that `excluded` names */
 bool backend_pool_may_serve(const struct backend_pool *pool,
                             const struct backend_criteria *criteria, uint64_t now);
-/** \return whether a request may still begin there, with weights of at least this version */
+/** \return whether a request may still be sent to this backend, with weights that it accepts */
 bool backend_may_start_request(const struct backend_pool *pool, const struct backend *backend,
                                const struct backend_criteria *criteria, uint64_t now);
-/** \brief Requests in progress or waiting at a back end, as far as known. */
+/** \return requests running or waiting at a backend, as far as known */
 uint32_t backend_occupancy(const struct backend_pool *pool, const struct backend *backend,
                            uint64_t now);
 
-/** \brief Count a request in. \param tokens of its prompt */
+/** \brief Record that a request was sent. \param tokens of its prompt */
 void backend_request_started(struct backend *backend, uint32_t tokens, uint64_t now);
 /**
- * \brief The first byte of an answer came, or none will come.
- * \param tokens as at the begin
- * \param latency_us from the send to that byte, 0: none came
+ * \brief Record the first byte of an answer, or that none will arrive.
+ * \param tokens as passed to backend_request_started()
+ * \param latency_us time from sending to the first byte; 0: none arrived
  */
 void backend_request_answered(struct backend *backend, uint32_t tokens, uint64_t latency_us,
                               uint64_t now);
 /**
- * \brief Count a request out.
- * \param latency_us time to the first byte of the answer, 0 when none came
- * \return whether the back end is now left out for a while
+ * \brief Record the end of a request.
+ * \param latency_us time to the first byte of the answer; 0: none arrived
+ * \return whether the backend was ejected
  */
 bool backend_request_ended(struct backend_pool *pool, struct backend *backend,
                            enum backend_result result, uint64_t latency_us, uint64_t now);
--- a/src/core/backend_pool_internal.h
+++ b/src/core/backend_pool_internal.h
@@ -1,19 +1,19 @@
 /**
- * What the modules of the pool share: its state, and what the reports of load still tell. What is
- * listed and reported is in backend_pool.c, what back ends say of themselves in
- * backend_statement.c, which are fit for a request in backend_eligibility.c, the choice among them
- * in backend_choice.c, what their answers show of their health in backend_health.c.
+ * Shared by the modules of the pool: its state, and checks of one backend. backend_pool.c applies
+ * list entries and load reports, backend_statement.c what backends state about themselves;
+ * backend_eligibility.c tells which are eligible for a request, backend_choice.c chooses among
+ * them, and backend_health.c tracks their load and health by this gateway's own requests.
  */
 #ifndef SHUNTRUN_BACKEND_POOL_INTERNAL_H
 #define SHUNTRUN_BACKEND_POOL_INTERNAL_H
 
 #include "core/backend_table.h"
 
-/** Starts whose statements are kept after the list dropped them. A list that lapses in an outage
- *  names its back ends again when it is back; a tenth of 1,000 may leave meanwhile. */
+/** Number of starts whose statements are saved after their removal. A list that is lost in an
+ * outage names its backends again afterwards; a tenth of 1,000 may leave in the meantime. */
 #define SAVED_STATEMENTS 128
 
-/** What a start that is no longer listed said of itself. */
+/** What a start that is no longer listed stated about itself. */
 struct saved_statement {
     char id[BACKEND_ID_SIZE];
     uint64_t born;
@@ -25,46 +25,46 @@
     struct backend_pool_settings settings;
     struct random_stream random;
     struct backend_table table;
-    bool sound; /* the list's keeper works */
+    bool sound; /* the store works */
     struct saved_statement kept[SAVED_STATEMENTS];
-    uint32_t saved_next; /* the oldest, which the next one replaces */
+    uint32_t saved_next; /* index of the oldest, which is replaced next */
 };
 
-/** \brief Keep what a back end said of itself, as the list drops it. */
+/** \brief Save the statements of a backend that is removed. */
 void backend_statement_save(struct backend_pool *pool, const struct backend *backend);
-/** \brief Bring back what this start said before the list dropped it. */
+/** \brief Restore what this start stated before it was removed. */
 void backend_statement_restore(struct backend_pool *pool, struct backend *backend);
-/** \brief It is listed or reported again. Where starts have no date, that is another one if the
- * last is known to have ended: what that one said is over. */
+/** \brief Handle a backend that is listed or reported again. Where entries have no start time, it
+ * is a new start if the last one was presumed down, and the statements of that one are cleared. */
 void backend_clear_undated_start(struct backend_pool *pool, struct backend *backend);
 
-/** \return whether it asked in an answer to get nothing now */
+/** \return whether the backoff that it asked for is still running */
 static inline bool backend_is_backed_off(const struct backend *backend, uint64_t now)
 {
     return now < backend->backoff_until;
 }
 
-/** \return whether the time is over for which it wanted nothing, and it has not worked since */
+/** \return whether its backoff is over, and no request has worked since */
 static inline bool backend_backoff_has_expired(const struct backend *backend, uint64_t now)
 {
     return backend->backoff_until && now >= backend->backoff_until;
 }
 
-/** Only an answer within this time shows that a back end, or the way to it, is not late. */
+/** Only an answer within this time shows that a backend, and the network to it, are not slow. */
 #define BACKEND_RECENT_ANSWER_US 1500000
 
-/** \return whether the back end may get the request, if it has room */
+/** \return whether the backend may get the request if it has room */
 bool backend_is_eligible(const struct backend_pool *pool, const struct backend_criteria *criteria,
                          const struct backend *backend, uint64_t now);
 
-/** \return whether the last report still tells what weights the engine has */
+/** \return whether the last load report is recent enough to tell the engine's weights */
 static inline bool backend_has_recent_load(const struct backend_pool *pool,
                                            const struct backend *backend, uint64_t now)
 {
     return backend->load_at && now < backend->load_at + pool->settings.max_load_age_us;
 }
 
-/** \return whether the time is over for which a back end that the list dropped stays usable */
+/** \return whether the grace period of an unlisted backend is over */
 static inline bool backend_unlisting_has_expired(const struct backend *backend, uint64_t now)
 {
     return backend->unlisted_until && backend->unlisted_until <= now;
--- a/src/core/backend_statement.c
+++ b/src/core/backend_statement.c
@@ -1,20 +1,19 @@
-/* What back ends say of themselves, in their answers and in the list: facts of the start that said
- * it.
- */
+/* Statements of backends about themselves, in answers and list entries. They hold for the start
+ * that made them. */
 #include "core/backend_pool_internal.h"
 
 #include <string.h>
 
-static bool extend_backoff(struct backend *backend, uint64_t asked_us, uint64_t now)
+static bool extend_backoff(struct backend *backend, uint64_t requested_us, uint64_t now)
 {
-    uint64_t length = asked_us < BACKEND_MAX_BACKOFF_US ? asked_us : BACKEND_MAX_BACKOFF_US;
-    if (!asked_us || now + length <= backend->backoff_until)
+    uint64_t length = requested_us < BACKEND_MAX_BACKOFF_US ? requested_us : BACKEND_MAX_BACKOFF_US;
+    if (!requested_us || now + length <= backend->backoff_until)
         return false;
     backend->backoff_until = now + length;
     return true;
 }
 
-/* An answer to a request from before its time off does not end it. */
+/* An answer to a request from before the backoff does not end the backoff. */
 static void record_success(struct backend *backend, uint64_t now)
 {
     if (!backend_backoff_has_expired(backend, now))
@@ -23,7 +22,7 @@
     backend->probing = false;
 }
 
-/* The list has dropped it, and may have named the same start again since. */
+/* The same start may have been listed again since its removal. */
 static void update_relisted(struct backend_pool *pool, const struct backend *dropped)
 {
     struct backend *listed = backend_table_find_id(&pool->table, dropped->listing.id);
@@ -52,8 +51,8 @@
     return backend->listing.draining || backend->leaving || backend->load.leaving;
 }
 
-/* What was dropped in an outage of the list may live. */
-static bool was_dropped(const struct backend *backend)
+/* A backend that was unlisted in a store outage may still run. */
+static bool is_unlisted_outside_outage(const struct backend *backend)
 {
     return backend->unlisted_until && !backend->unlisted_in_outage;
 }
@@ -68,7 +67,7 @@
 bool backend_exit_is_planned(const struct backend_pool *pool, const struct backend *backend,
                              uint64_t now)
 {
-    if (!is_leaving(backend) && !was_dropped(backend))
+    if (!is_leaving(backend) && !is_unlisted_outside_outage(backend))
         return false;
     return !backend->leaving_known_since ||
            now >= backend->leaving_known_since + pool->settings.min_drain_us;
@@ -87,7 +86,7 @@
     return NULL;
 }
 
-/* Entries without a date may be of another start under the same id. */
+/* A draining entry without a start time may be of another start under the same id. */
 static bool is_leaving_permanently(const struct backend *backend)
 {
     return backend->leaving || (backend->listing.draining && backend->listing.born);
@@ -119,7 +118,7 @@
         backend->backoff_until = kept->backoff_until;
 }
 
-/* The entry of a start with a date, told again, is no sign of life. */
+/* With a start time, a repeated entry is no evidence that the backend is up again. */
 void backend_clear_undated_start(struct backend_pool *pool, struct backend *backend)
 {
     if (backend->listing.born || !backend->presumed_down_until)
--- a/src/core/backend_table.c
+++ b/src/core/backend_table.c
@@ -7,19 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Entries of an index for each back end, above which it is made anew: those that are gone stay in.
- */
+/** The indexes are rebuilt above this number of entries per backend, as entries of removed backends
+ *  stay in them. */
 #define INDEX_ENTRIES_PER_BACKEND 4
 #define INDEX_MIN_ENTRIES 64
 
-/* A key of the index: never 0, which it takes for a free slot. */
+/* Index key of a text; never 0, which marks a free slot. */
 static uint32_t key_of(const char *text)
 {
     uint32_t key = (uint32_t)hash_name(text);
     return key ? key : 1;
 }
 
-/* \return whether a place holds the back end that is looked for */
+/* \return whether a backend has the id or address that is looked up */
 typedef bool matcher(const struct backend *backend, const char *text);
 
 static bool has_id(const struct backend *backend, const char *text)
@@ -40,7 +40,7 @@
         return NULL;
     if (table_index < table->count && matches(table->items[table_index], text))
         return table->items[table_index];
-    /* The entry is of one that is gone, or two keys are the same. */
+    /* The entry belongs to a removed backend, or two texts have the same key. */
     for (uint32_t i = 0; i < table->count; i++)
         if (matches(table->items[i], text))
             return table->items[i];
@@ -96,18 +96,17 @@
     return group;
 }
 
-static void set_group_place(struct backend_group *group, uint32_t table_index,
-                            struct backend *backend)
+static void set_in_group(struct backend_group *group, uint32_t group_index, struct backend *backend)
 {
-    group->items[table_index] = backend;
-    backend->group_index = table_index;
+    group->items[group_index] = backend;
+    backend->group_index = group_index;
 }
 
 static void swap_in_group(struct backend_group *group, uint32_t left, uint32_t right)
 {
-    struct backend *kept = group->items[left];
-    set_group_place(group, left, group->items[right]);
-    set_group_place(group, right, kept);
+    struct backend *moved = group->items[left];
+    set_in_group(group, left, group->items[right]);
+    set_in_group(group, right, moved);
 }
 
 void backend_table_set_reported(struct backend_table *table, struct backend *backend, bool reported)
@@ -142,7 +141,7 @@
     group->items = memory_resize(group->items, (group->count + 1) * sizeof *group->items);
     backend->table_index = table->count;
     table->items[table->count++] = backend;
-    set_group_place(group, group->count, backend);
+    set_in_group(group, group->count, backend);
     group->count++;
     group->dated += backend->listing.born != 0;
     group->ever_dated |= backend->listing.born != 0;
--- a/src/core/backend_table.h
+++ b/src/core/backend_table.h
@@ -1,7 +1,7 @@
 /**
- * The table of back ends behind a pool: found by id and by address without a walk, and in groups by
- * service, in which those whose load was ever reported come first. A choice looks at these only,
- * which are a bounded number (core/load_targets), whatever the size of the fleet.
+ * The backends of a pool, indexed by id and by address, and grouped by service. In each group the
+ * backends with load reports come first: a choice among engines looks at these alone, and their
+ * number is bounded (core/load_targets) whatever the size of the fleet.
  */
 #ifndef SHUNTRUN_BACKEND_TABLE_H
 #define SHUNTRUN_BACKEND_TABLE_H
@@ -9,36 +9,37 @@
 #include "core/address_index.h"
 #include "core/backend_pool.h"
 
-/** The back ends of one service. */
+/** The backends of one service. */
 struct backend_group {
     char service[BACKEND_NAME_SIZE];
     struct backend **items;
     uint32_t count;
-    uint32_t reported; /**< the first ones, whose load was reported */
-    uint32_t dated;    /**< of all, those whose entry tells starts apart */
-    bool ever_dated;   /**< some entry of the service told them apart, also one that is gone */
+    uint32_t reported; /**< number of backends with load reports, which come first */
+    uint32_t dated;    /**< number of backends whose entry gives a start time */
+    bool ever_dated;   /**< some entry of the service gave one, perhaps of a removed backend */
 };
 
 struct backend_table {
     struct backend **items;
     uint32_t count;
-    uint32_t dated; /**< of all, those whose entry tells starts apart */
+    uint32_t dated; /**< number of backends whose entry gives a start time */
     struct backend_group *groups;
     uint32_t group_count;
-    struct address_index ids;       /**< places by the hash of the id */
-    struct address_index addresses; /**< likewise of the address */
+    struct address_index ids;       /**< table indexes by the hash of the id */
+    struct address_index addresses; /**< the same by the hash of the address */
 };
 
+/** \brief Free the table, but not the backends. */
 void backend_table_clear(struct backend_table *table);
-/** \brief Take a back end in; its listing must be complete, and does not change its service. */
+/** \brief Add a backend. Its listing must be complete, and its service must not change later. */
 void backend_table_add(struct backend_table *table, struct backend *backend);
 void backend_table_remove(struct backend_table *table, struct backend *backend);
-/** \brief Move it to those that were reported, or away from them. */
+/** \brief Move a backend to those with load reports, or away from them. */
 void backend_table_set_reported(struct backend_table *table, struct backend *backend,
                                 bool reported);
 struct backend *backend_table_find_id(const struct backend_table *table, const char *id);
 struct backend *backend_table_find_address(const struct backend_table *table, const char *address);
-/** \return the back ends of a service, NULL: it never had one */
+/** \return the backends of a service, or NULL if it never had one */
 struct backend_group *backend_table_group(const struct backend_table *table, const char *service);
 
 #endif
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -1,5 +1,5 @@
 /**
- * Load-balancing algorithms over the candidates of one request.
+ * Load-balancing algorithms that choose among the candidate agents of one request.
  */
 #ifndef SHUNTRUN_BALANCE_H
 #define SHUNTRUN_BALANCE_H
@@ -11,33 +11,34 @@
 /** One agent that may take the request. */
 struct balance_candidate {
     uint32_t agent;     /**< index in the routing view */
-    uint32_t in_flight; /**< requests that this gateway has there now */
-    uint32_t reported;  /**< requests in progress as the agent last said; lags */
-    uint32_t capacity;
-    uint32_t token_us; /**< mean time between tokens as this gateway saw it; 0: not known */
-    uint16_t distance; /**< 0 same zone, 1 same region, 2 other region */
+    uint32_t in_flight; /**< requests of this gateway in progress there */
+    uint32_t reported;  /**< requests in progress by the agent's last report, which lags */
+    uint32_t capacity;  /**< requests that it runs concurrently */
+    uint32_t token_us;  /**< mean time between tokens, observed by this gateway; 0: not known */
+    uint16_t distance;  /**< 0 same zone, 1 same region, 2 other region */
 };
 
 struct balance_state {
     struct random_stream random;
-    uint64_t turn; /**< of round robin */
+    uint64_t turn; /**< number of choices by round robin */
 };
 
 /**
- * \brief Leave out agents that are much slower than the median one, unless too few are left. Now
- * and then one is kept as a probe, so that an agent that recovered is noticed. \return how many
- * candidates are left, in place
+ * \brief Remove agents that are much slower than the median, if enough speeds are known. At random
+ * one of them is kept as a probe, to notice that it has recovered. \return number of candidates
+ * left, compacted in place
  */
 uint32_t balance_drop_slow(struct balance_state *state, struct balance_candidate *candidates,
                            uint32_t count);
 
-/** \param count at least 1 \return index into `candidates` */
+/** \brief Choose a candidate. \param count at least 1 \return index into `candidates` */
 typedef uint32_t balance_choose(struct balance_state *state,
                                 const struct balance_candidate *candidates, uint32_t count);
 
 /**
- * \brief Two random choices, the one with the shorter expected wait taken: own in-flight counts
- * over lagging reports, times the observed time between tokens, so that slow engines get less.
+ * \brief Power of two choices: draw two candidates and choose the one with the shorter expected
+ * wait. The load is the greater of own in-flight count and lagging report, multiplied by the
+ * observed time between tokens so that slow engines get fewer requests.
  */
 balance_choose balance_two_choices;
 balance_choose balance_round_robin;
--- a/src/core/balance_drop_slow.c
+++ b/src/core/balance_drop_slow.c
@@ -2,11 +2,11 @@
 
 #include <stdbool.h>
 
-#define SLOW_FACTOR 2      /* slower than so many medians is too slow */
-#define MIN_KNOWN_SPEEDS 4 /* speeds that must be known before anybody is left out */
+#define SLOW_FACTOR 2      /* an agent is slow above this multiple of the median time */
+#define MIN_KNOWN_SPEEDS 4 /* agents are removed only if this many times are known */
 #define PROBE_ONE_IN 64
 
-/* The median of the known times between tokens; 0 when too few are known. */
+/* Median of the known times between tokens, microseconds; 0 if too few are known. */
 static uint32_t median_token_us(const struct balance_candidate *candidates, uint32_t count)
 {
     uint32_t sorted[count];
--- a/src/core/balance_two_choices.c
+++ b/src/core/balance_two_choices.c
@@ -2,9 +2,10 @@
 
 #include <stdbool.h>
 
-#define DISTANCE_COST 0.02 /* load, in parts of the capacity, that a farther zone must save */
+/** Load, relative to the capacity, that is added for each step of distance. */
+#define DISTANCE_COST 0.02
 
-/* Own counts are exact but partial, reports complete but late: the greater one is believed. */
+/* Own counts are exact but partial, reports complete but outdated: the greater one is used. */
 static double load_of(const struct balance_candidate *candidate)
 {
     uint32_t busy =
--- a/src/core/load_targets.c
+++ b/src/core/load_targets.c
@@ -6,24 +6,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Engines of its own region that a gateway hears of, on average: two of those with room are
- * compared for each request. */
+/** Average number of engines of its own region whose load a gateway receives: two of those with
+ * room are compared for each request. */
 #define NEAR_ENGINES_PER_GATEWAY 32
-/** Engines of other regions that a gateway hears of, on average: it sends there only what finds no
- *  room at home. Bytes between regions fall with it. */
+/** The same for engines of other regions, which get only requests that find no room in the
+ * gateway's own region. Traffic between regions decreases with it. */
 #define FAR_ENGINES_PER_GATEWAY 10
 #define PAIR_HASH_SEED 0x6c6f616473ULL
 
 /** Loaders of one region. */
 struct region_loaders {
-    const char *region; /* of a member, valid while the table is not changed */
+    const char *region; /* owned by a member, valid until the membership changes */
     uint32_t count;
 };
 
 struct loader_counts {
     struct region_loaders *regions;
     uint32_t region_count;
-    uint32_t all;
+    uint32_t total;
 };
 
 static struct region_loaders *find_region(struct loader_counts *counts, const char *region)
@@ -38,7 +38,7 @@
 {
     if (member->role != MEMBER_LOADER || !member_is_alive(member))
         return;
-    counts->all++;
+    counts->total++;
     struct region_loaders *region = find_region(counts, member->region);
     if (!region) {
         counts->regions =
@@ -58,7 +58,8 @@
     return counts;
 }
 
-/* Whether this pair is among the `wanted` of `available` that the gateway hears of. */
+/* Whether the loader is among the `wanted` of `available` that the gateway receives reports from.
+ */
 static bool is_selected(const struct member_state *gateway, const struct member_state *loader,
                         uint32_t wanted, uint32_t available)
 {
@@ -68,17 +69,17 @@
     return weight < UINT64_MAX / available * wanted;
 }
 
-static bool is_told(struct loader_counts *counts, const struct member_state *gateway,
-                    const struct member_state *loader, bool near)
+static bool receives_load(struct loader_counts *counts, const struct member_state *gateway,
+                          const struct member_state *loader, bool near)
 {
     const struct region_loaders *region = find_region(counts, gateway->region);
     uint32_t near_loaders = region ? region->count : 0;
     if (near)
         return is_selected(gateway, loader, NEAR_ENGINES_PER_GATEWAY, near_loaders);
-    return is_selected(gateway, loader, FAR_ENGINES_PER_GATEWAY, counts->all - near_loaders);
+    return is_selected(gateway, loader, FAR_ENGINES_PER_GATEWAY, counts->total - near_loaders);
 }
 
-/* Add the gateways of the own region, or those of all others. \return their number */
+/* Append the gateways of the own region, or those of all others. \return their number */
 static uint32_t add_gateways(struct load_targets *targets, struct membership *membership,
                              struct loader_counts *counts, bool near)
 {
@@ -90,7 +91,7 @@
         if (member->role != MEMBER_GATEWAY || !member_is_alive(member) ||
             (strcmp(member->region, self->region) == 0) != near)
             continue;
-        if (is_told(counts, member, self, near))
+        if (receives_load(counts, member, self, near))
             addresses[count++] = member->address;
     }
     return count;
--- a/src/core/route_table.c
+++ b/src/core/route_table.c
@@ -9,7 +9,7 @@
 
 #define HOST_SIZE 256
 
-/* Open addressing; `value` is an index plus one, 0 marks an empty slot. */
+/* Hash table with linear probing; `value` is an index plus one, 0 marks a free slot. */
 struct index_slot {
     uint64_t hash;
     uint32_t value;
@@ -37,8 +37,8 @@
     uint32_t tenant_count;
     struct key_entry *keys;
     uint32_t key_count;
-    struct index by_prefix; /* host and prefix */
-    struct index by_key;
+    struct index by_prefix; /* routes by host and prefix */
+    struct index by_key;    /* client keys */
 };
 
 struct route_table *route_table_create(uint64_t version)
@@ -86,9 +86,9 @@
 
 uint32_t route_table_add_service(struct route_table *table, const char *name)
 {
-    uint32_t known = route_table_find_service(table, name);
-    if (known != ROUTE_NO_SERVICE)
-        return known;
+    uint32_t existing = route_table_find_service(table, name);
+    if (existing != ROUTE_NO_SERVICE)
+        return existing;
     uint32_t index = table->service_count++;
     table->services =
         memory_resize(table->services, table->service_count * sizeof *table->services);
@@ -139,10 +139,10 @@
 
 static void index_insert(struct index *index, uint64_t hash, uint32_t value)
 {
-    uint32_t place = (uint32_t)hash & index->mask;
-    while (index->slots[place].value)
-        place = (place + 1) & index->mask;
-    index->slots[place] = (struct index_slot){hash, value + 1};
+    uint32_t slot = (uint32_t)hash & index->mask;
+    while (index->slots[slot].value)
+        slot = (slot + 1) & index->mask;
+    index->slots[slot] = (struct index_slot){hash, value + 1};
 }
 
 static uint64_t prefix_hash(const char *host, const char *prefix, size_t length)
@@ -211,11 +211,11 @@
 {
     uint64_t hash = prefix_hash(host, prefix, length);
     const struct index *index = &table->by_prefix;
-    for (uint32_t place = (uint32_t)hash & index->mask; index->slots[place].value;
-         place = (place + 1) & index->mask) {
-        if (index->slots[place].hash != hash)
+    for (uint32_t slot = (uint32_t)hash & index->mask; index->slots[slot].value;
+         slot = (slot + 1) & index->mask) {
+        if (index->slots[slot].hash != hash)
             continue;
-        const struct route *route = &table->routes[index->slots[place].value - 1];
+        const struct route *route = &table->routes[index->slots[slot].value - 1];
         if (strcmp(route->host, host) == 0 && strlen(route->prefix) == length &&
             memcmp(route->prefix, prefix, length) == 0)
             return route;
@@ -223,6 +223,7 @@
     return NULL;
 }
 
+/* Lower case, without the port. \return false if the host is empty or too long */
 static bool normalize_host(const char *host, char *normal)
 {
     size_t length = strcspn(host, ":");
@@ -254,10 +255,10 @@
 {
     uint64_t hash = hash_name(key);
     const struct index *index = &table->by_key;
-    for (uint32_t place = (uint32_t)hash & index->mask; index->slots[place].value;
-         place = (place + 1) & index->mask) {
-        const struct key_entry *entry = &table->keys[index->slots[place].value - 1];
-        if (index->slots[place].hash == hash && strcmp(entry->key, key) == 0)
+    for (uint32_t slot = (uint32_t)hash & index->mask; index->slots[slot].value;
+         slot = (slot + 1) & index->mask) {
+        const struct key_entry *entry = &table->keys[index->slots[slot].value - 1];
+        if (index->slots[slot].hash == hash && strcmp(entry->key, key) == 0)
             return entry->tenant;
     }
     return ROUTE_NO_TENANT;
@@ -275,11 +276,11 @@
         sum += route->targets[i].weight;
     if (!sum)
         return route->target_count ? route->targets[0].service : ROUTE_NO_SERVICE;
-    uint64_t rest = draw % sum;
+    uint64_t remaining = draw % sum;
     for (uint32_t i = 0; i < route->target_count; i++) {
-        if (rest < route->targets[i].weight)
+        if (remaining < route->targets[i].weight)
             return route->targets[i].service;
-        rest -= route->targets[i].weight;
+        remaining -= route->targets[i].weight;
     }
     return route->targets[0].service;
 }
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -1,9 +1,9 @@
 /**
- * Routes, services and tenants of one configuration version, ready for look-ups by the request
+ * Routes, services and tenants of one configuration version, indexed for look-ups on the request
  * path.
  *
- * A table is filled by whoever parses the configuration's wire form, finished with
- * route_table_finish() and immutable from then on. Shared by reference count, one thread.
+ * The parser of the configuration fills a table and calls route_table_finish(); from then on it is
+ * immutable. Tables are reference-counted and confined to one thread.
  */
 #ifndef SHUNTRUN_ROUTE_TABLE_H
 #define SHUNTRUN_ROUTE_TABLE_H
@@ -17,9 +17,9 @@
 #define ROUTE_NO_SERVICE UINT32_MAX
 
 enum route_kind {
-    ROUTE_IDEMPOTENT,     /**< may run more than once */
+    ROUTE_IDEMPOTENT,     /**< may run more than once for each request id */
     ROUTE_NON_IDEMPOTENT, /**< runs at most once for each request id */
-    ROUTE_STREAM,         /**< answered by a series of events */
+    ROUTE_STREAM,         /**< answered by an event stream */
 };
 
 /** Share of a route's requests that goes to one service. */
@@ -30,49 +30,49 @@
 
 struct route {
     char *name;
-    char *host; /**< lower case */
-    char *prefix;
+    char *host;   /**< lower case */
+    char *prefix; /**< of the path, up to and including a slash */
     enum route_kind kind;
-    uint32_t timeout_ms; /**< longest time for one request */
-    uint32_t target_ms;  /**< objective: whole answer, or first event of a stream */
-    uint32_t gap_ms;     /**< objective: pause between events of a stream */
-    uint32_t priority;   /**< 0 goes first */
-    uint32_t attempts;   /**< back ends that one request may be sent to */
-    bool anonymous;      /**< needs no key */
-    bool resumable;      /**< a stream may go on at another back end */
+    uint32_t timeout_ms; /**< maximum time for one request */
+    uint32_t target_ms;  /**< latency objective: complete answer, or first event of a stream */
+    uint32_t gap_ms;     /**< latency objective: pause between events of a stream */
+    uint32_t priority;   /**< 0 is the highest */
+    uint32_t attempts;   /**< maximum number of backends that one request is sent to */
+    bool anonymous;      /**< requires no client key */
+    bool resumable;      /**< an interrupted stream may continue at another backend */
     struct route_target targets[ROUTE_MAX_TARGETS];
     uint32_t target_count;
 };
 
-/** What the configuration says of the engines of a model service; zero for a plain service. */
+/** Engines of a model service as configured; zero for a service without a model. */
 struct engine_profile {
-    char *model; /**< NULL for a plain service */
-    uint32_t slots;
-    uint64_t kv_cache_tokens; /**< tokens of context that fit */
+    char *model;              /**< NULL: the service has no model */
+    uint32_t slots;           /**< requests that an engine runs concurrently */
+    uint64_t kv_cache_tokens; /**< context tokens that fit into an engine's KV cache */
     uint32_t layers;
-    uint32_t pieces; /**< of the weights of one version */
+    uint32_t pieces; /**< number of pieces in the weights of one version */
     uint32_t piece_bytes;
     uint32_t warmup_ms;
-    double step_ms;
+    double step_ms; /**< fixed part of the time of one decoding step */
     double step_ms_per_request;
     double prefill_tokens_per_ms;
-    uint32_t mean_prompt_tokens; /**< mean tokens of a prompt */
+    uint32_t mean_prompt_tokens; /**< average prompt length */
 };
 
 struct service_entry {
     char *name;
     uint32_t connection_limit;
     struct engine_profile engine;
-    char *origin; /**< "IP:PORT" of an origin of weights, NULL for all others */
+    char *origin; /**< "IP:PORT" if the service is an origin of weights, otherwise NULL */
     char *zone;   /**< of an origin */
 };
 
 struct tenant_entry {
     char *name;
-    uint32_t priority; /**< 0 goes first */
+    uint32_t priority; /**< 0 is the highest */
 };
 
-/** Bounds on what a client may send. */
+/** Limits on client connections and requests. */
 struct client_limits {
     uint32_t head_bytes;
     uint32_t body_bytes;
@@ -86,12 +86,14 @@
 struct route_table *route_table_retain(struct route_table *table);
 void route_table_release(struct route_table *table);
 
-/* Filling; strings are copied, indexes are stable. */
+/* Filling a table: strings are copied, indexes are stable. */
+/** \return index of the service, which is added if the table does not have it */
 uint32_t route_table_add_service(struct route_table *table, const char *name);
+/** \return a service whose fields are still to be filled in */
 struct service_entry *route_table_mutable_service(struct route_table *table, uint32_t index);
 uint32_t route_table_add_tenant(struct route_table *table, const char *name, uint32_t priority);
 void route_table_add_key(struct route_table *table, uint32_t tenant, const char *key);
-/** \brief Add a route; takes its strings over. */
+/** \brief Add a route; takes ownership of its strings. */
 void route_table_add_route(struct route_table *table, const struct route *route);
 void route_table_set_limits(struct route_table *table, const struct client_limits *limits);
 /** \brief Build the indexes. */
@@ -106,13 +108,14 @@
 const struct service_entry *route_table_service(const struct route_table *table, uint32_t index);
 /** \return index, or ROUTE_NO_SERVICE */
 uint32_t route_table_find_service(const struct route_table *table, const char *name);
-/** \brief The route of the host with the longest prefix that begins the path. \return or NULL */
+/** \return the route of the host with the longest matching path prefix, or NULL */
 const struct route *route_table_match(const struct route_table *table, const char *host,
                                       const char *path, size_t path_length);
-/** \return index of the tenant that holds a key, or ROUTE_NO_TENANT */
+/** \return index of the tenant that owns a client key, or ROUTE_NO_TENANT */
 uint32_t route_table_key_owner(const struct route_table *table, const char *key);
 const struct tenant_entry *route_table_tenant(const struct route_table *table, uint32_t index);
-/** \brief Service for one request of a route. \param draw uniform random number */
+/** \brief Choose a service by the weights of a route's targets. \param draw uniform random number
+ *  \return index of the service, or ROUTE_NO_SERVICE if the route has no targets */
 uint32_t route_choose_service(const struct route *route, uint64_t draw);
 
 #endif
--- a/tests/core/backend_answer_test.c
+++ b/tests/core/backend_answer_test.c
@@ -1,4 +1,4 @@
-/* What an answer of a back end means. */
+/* Classes of backend answers, and the backoff that an answer sets. */
 #include "testing.h"
 
 #include "core/backend_answer.h"
@@ -15,7 +15,7 @@
         unsigned status;
         bool sealed;
         bool not_executed;
-        enum answer_class meaning;
+        enum answer_class expected;
     } table[] = {
         {200, true, false, ANSWER_SUCCEEDED},   {204, true, false, ANSWER_SUCCEEDED},
         {200, false, false, ANSWER_UNVERIFIED}, {500, true, false, ANSWER_FAILED},
@@ -26,30 +26,30 @@
         {421, true, true, ANSWER_MISDIRECTED},
     };
     for (size_t i = 0; i < sizeof table / sizeof table[0]; i++) {
-        struct answer_properties facts =
+        struct answer_properties properties =
             answer(table[i].status, table[i].sealed, table[i].not_executed);
-        assert_int_equal(classify_answer(&facts), table[i].meaning);
+        assert_int_equal(classify_answer(&properties), table[i].expected);
     }
 }
 
 static void an_unrequested_content_encoding_makes_an_answer_unverified(void **state)
 {
-    struct answer_properties facts = answer(200, true, false);
-    facts.encoded = true;
-    assert_int_equal(classify_answer(&facts), ANSWER_UNVERIFIED);
+    struct answer_properties properties = answer(200, true, false);
+    properties.encoded = true;
+    assert_int_equal(classify_answer(&properties), ANSWER_UNVERIFIED);
 }
 
 static void only_a_503_answer_sets_a_backoff(void **state)
 {
-    struct answer_properties facts = answer(503, false, true);
-    facts.retry_after_ms = 700;
-    assert_int_equal(answer_backoff_us(&facts), 700000);
-    facts.status = 429;
-    assert_int_equal(answer_backoff_us(&facts), 0);
-    facts.status = 200;
-    assert_int_equal(answer_backoff_us(&facts), 0);
-    facts.status = 500;
-    assert_int_equal(answer_backoff_us(&facts), 0);
+    struct answer_properties properties = answer(503, false, true);
+    properties.retry_after_ms = 700;
+    assert_int_equal(answer_backoff_us(&properties), 700000);
+    properties.status = 429;
+    assert_int_equal(answer_backoff_us(&properties), 0);
+    properties.status = 200;
+    assert_int_equal(answer_backoff_us(&properties), 0);
+    properties.status = 500;
+    assert_int_equal(answer_backoff_us(&properties), 0);
 }
 
 int main(void)
