--- a/tests/core/address_index_test.c
+++ b/tests/core/address_index_test.c
@@ -10,7 +10,7 @@
     return 0x0a000001U + entry * 256;
 }
 
-static void every_address_keeps_its_place(void **state)
+static void every_address_keeps_its_position(void **state)
 {
     struct address_index index = {0};
     assert_int_equal(address_index_find(&index, address_of(0)), ADDRESS_INDEX_NONE);
@@ -22,7 +22,7 @@
     address_index_destroy(&index);
 }
 
-static void a_place_can_be_changed_and_all_can_be_cleared(void **state)
+static void a_position_can_be_replaced_and_all_can_be_cleared(void **state)
 {
     struct address_index index = {0};
     address_index_put(&index, 7, 1);
@@ -37,8 +37,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(every_address_keeps_its_place),
-        cmocka_unit_test(a_place_can_be_changed_and_all_can_be_cleared),
+        cmocka_unit_test(every_address_keeps_its_position),
+        cmocka_unit_test(a_position_can_be_replaced_and_all_can_be_cleared),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -60,7 +60,7 @@
     backend_pool_unlist(pool, "i-1", &drop, now);
 }
 
-static void draining_and_empty_engines_get_nothing(void **state)
+static void draining_and_empty_engines_are_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -75,7 +75,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_dropped_entry_lasts_until_its_time(void **state)
+static void an_unlisted_backend_stays_usable_for_its_grace_period(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -88,7 +88,7 @@
     backend_pool_destroy(pool);
 }
 
-static void what_a_failing_list_drops_is_doubted(void **state)
+static void entries_lost_in_a_store_outage_stay_until_the_store_recovers(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -106,7 +106,7 @@
     backend_pool_destroy(pool);
 }
 
-static void what_was_lost_meanwhile_is_told_when_the_list_is_back(void **state)
+static void an_entry_lost_in_an_outage_gets_the_relist_grace_period(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -121,7 +121,7 @@
 
 /* A gateway that begins to read the store counts as one without answers until its first watch ends:
  * an entry that had gone before gets no new time from that. */
-static void what_a_sound_list_dropped_stays_dropped_when_it_fails(void **state)
+static void a_later_outage_does_not_extend_an_ordinary_unlisting(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -136,7 +136,7 @@
 }
 
 /* After a loss of power the keeper is first heard of some tenths of a second after the start. */
-static void a_keeper_not_heard_of_yet_has_not_failed(void **state)
+static void a_store_that_answers_soon_after_the_start_has_not_failed(void **state)
 {
     struct backend_pool_settings begun = settings;
     begun.created = 8 * SECOND_US;
@@ -151,7 +151,7 @@
 }
 
 /* Who began while the keeper was away doubts what it drops when it is back. */
-static void a_keeper_not_heard_of_for_long_has_failed(void **state)
+static void an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period(void **state)
 {
     struct backend_pool_settings begun = settings;
     begun.created = 8 * SECOND_US;
@@ -165,7 +165,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_is_as_silent_is_no_other(void **state)
+static void heard_after_rules_out_engines_that_are_silent_since(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -198,7 +198,7 @@
     backend_pool_list(pool, &listing, 0);
 }
 
-static void an_entry_that_is_written_late_changes_nothing(void **state)
+static void an_entry_with_a_lower_sequence_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     take_entry(pool, 1000, 8, false);
@@ -210,7 +210,7 @@
     backend_pool_destroy(pool);
 }
 
-static void that_a_start_leaves_is_final(void **state)
+static void draining_is_final_for_a_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_unlisting drop = {SECOND_US, false};
@@ -226,7 +226,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_later_start_is_not_bound_by_what_the_list_said_before(void **state)
+static void draining_of_an_earlier_start_does_not_bind_a_later_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_load load = {.born = 2000, .version = 1};
@@ -237,7 +237,7 @@
     backend_pool_destroy(pool);
 }
 
-static void without_dates_a_lower_sequence_may_be_of_the_next_start(void **state)
+static void without_start_times_a_lower_sequence_is_applied(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing empty = listing_of(1, 0);
@@ -250,7 +250,7 @@
     backend_pool_destroy(pool);
 }
 
-static void without_dates_the_order_of_entries_decides(void **state)
+static void without_start_times_a_later_entry_revokes_draining(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     take_entry(pool, 0, 8, true);
@@ -266,7 +266,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_address_belongs_to_its_newest_start(void **state)
+static void a_new_entry_replaces_the_backend_at_its_address(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing again = listing_of(1, 1);
@@ -278,7 +278,7 @@
     backend_pool_destroy(pool);
 }
 
-static void old_versions_get_nothing_in_time(void **state)
+static void engines_below_the_required_versions_are_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -296,7 +296,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_engine_on_a_slow_link_gets_no_old_version_late(void **state)
+static void an_engine_that_may_be_late_needs_the_later_version(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -315,7 +315,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_stays_silent_gets_nothing_more(void **state)
+static void a_stalled_engine_gets_no_requests_until_it_answers(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -332,7 +332,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_loads_gets_nothing(void **state)
+static void a_loading_engine_is_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -342,7 +342,7 @@
     backend_pool_destroy(pool);
 }
 
-static void streams_broken_off_for_new_weights_are_no_fault(void **state)
+static void streams_aborted_to_load_weights_are_not_failures(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = add(pool, 1, 1, 0);
@@ -359,7 +359,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_long_stream_goes_where_no_turn_comes_before_its_end(void **state)
+static void a_long_request_avoids_an_engine_that_will_switch_weights(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -375,7 +375,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_long_stream_goes_to_an_engine_near_its_turn_when_there_is_no_other(void **state)
+static void a_long_request_goes_to_a_switching_engine_if_there_is_no_other(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -386,7 +386,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_begun_stream_has_somebody_while_an_engine_of_its_version_may_take_it(void **state)
+static void an_excluded_engine_of_the_required_version_may_serve_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -410,7 +410,7 @@
     return listing;
 }
 
-static void an_id_that_starts_again_begins_anew(void **state)
+static void a_restart_under_the_same_id_resets_the_health(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -430,7 +430,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_report_of_an_earlier_start_is_left_out(void **state)
+static void a_report_of_an_earlier_start_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing listing = start_of(2000);
@@ -442,7 +442,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_report_may_tell_of_a_start_before_the_list_does(void **state)
+static void a_report_of_a_later_start_replaces_the_listed_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -461,7 +461,7 @@
 
 /* Its clock was set back between two starts: the list's last word decides. */
 /* The list dropped it before; a start that only its loader knows of is not listed by that. */
-static void a_dropped_back_end_is_not_listed_by_a_report(void **state)
+static void a_report_does_not_list_an_unlisted_backend_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -477,7 +477,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_ended_back_end_gets_nothing_until_it_shows_again(void **state)
+static void a_backend_presumed_down_gets_no_requests_until_it_reports(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -500,7 +500,7 @@
 }
 
 /* A begun stream waits for an engine that started again, empty, and gets its version. */
-static void an_empty_engine_may_serve_what_it_is_to_hold(void **state)
+static void an_empty_engine_may_serve_the_version_it_is_about_to_load(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -516,7 +516,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_rank_key_takes_same_requests_to_one_back_end(void **state)
+static void a_rank_key_selects_the_same_backend_in_all_gateways(void **state)
 {
     struct backend_pool *pools[2];
     struct backend_criteria criteria = criteria_of();
@@ -539,7 +539,7 @@
         backend_pool_destroy(pools[i]);
 }
 
-static void a_start_that_seems_older_is_believed_when_the_list_says_so(void **state)
+static void a_listed_start_is_current_even_if_its_clock_was_set_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing first = start_of(2000), second = start_of(1500);
@@ -552,7 +552,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_entry_that_alone_does_not_date_its_start_is_not_used(void **state)
+static void an_entry_without_start_time_is_not_trusted_among_dated_ones(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -572,7 +572,7 @@
 }
 
 /* One of two back ends of the service is away: what those of other services say counts then. */
-static void an_undated_entry_is_not_used_beside_one_dated_of_a_small_service(void **state)
+static void an_undated_entry_of_a_small_service_is_judged_by_all_entries(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -597,7 +597,7 @@
     backend_pool_destroy(pool);
 }
 
-static void prompts_at_one_engine_are_bounded(void **state)
+static void pending_prompt_tokens_of_an_engine_are_bounded(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -620,7 +620,7 @@
     backend_pool_destroy(pool);
 }
 
-static void engines_near_go_first_until_they_hold_more(void **state)
+static void near_engines_are_preferred_until_they_are_busier(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -634,7 +634,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_failing_back_end_is_ejected_and_probed(void **state)
+static void a_failing_backend_is_ejected_and_probed(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -659,7 +659,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_released_back_end_outlives_its_listing(void **state)
+static void a_retained_backend_outlives_its_listing(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = backend_retain(add(pool, 1, 1, 0));
@@ -673,7 +673,7 @@
 }
 
 /* Every gateway sees the same report: together they must not send much more than there is room. */
-static void many_gateways_do_not_overfill_an_engine(void **state)
+static void many_gateways_together_do_not_overload_an_engine(void **state)
 {
     const uint32_t gateways = 34;
     uint32_t begun = 0;
@@ -696,10 +696,11 @@
 }
 
 /* \return requests that all gateways together begin at one engine after one report of it */
-static uint32_t begun_by_all(uint32_t near_gateways, uint32_t far_gateways, uint32_t *by_near)
+static uint32_t started_by_all(uint32_t near_gateways, uint32_t far_gateways,
+                               uint32_t *started_by_near)
 {
     uint32_t begun = 0;
-    *by_near = 0;
+    *started_by_near = 0;
     for (uint32_t gateway = 0; gateway < near_gateways + far_gateways; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
         struct backend_criteria criteria = criteria_of();
@@ -713,7 +714,7 @@
         while (choose(pool, &criteria, SECOND_US)) {
             backend_request_started(backend, 10, SECOND_US);
             begun++;
-            *by_near += near;
+            *started_by_near += near;
         }
         backend_pool_destroy(pool);
     }
@@ -721,23 +722,23 @@
 }
 
 /* Of 149 gateways 30 are in the engine's region: its places are theirs first. */
-static void gateways_of_the_own_region_get_most_places(void **state)
+static void gateways_of_the_own_region_get_most_slots(void **state)
 {
-    uint32_t by_near;
-    uint32_t begun = begun_by_all(30, 119, &by_near);
+    uint32_t started_by_near;
+    uint32_t begun = started_by_all(30, 119, &started_by_near);
     assert_in_range(begun, 19, 46); /* 16 slots and a queue of 3, some two times that at most */
-    assert_in_range(by_near, 19, 38);
-    begun = begun_by_all(2, 4, &by_near);
+    assert_in_range(started_by_near, 19, 38);
+    begun = started_by_all(2, 4, &started_by_near);
     assert_in_range(begun, 19, 46);
-    begun = begun_by_all(30, 0, &by_near);
+    begun = started_by_all(30, 0, &started_by_near);
     assert_in_range(begun, 19, 46);
 }
 
 /* Frozen machines report nothing: at 149 gateways each of them sent a request to every such engine,
  * as it looked idle. */
-static void an_engine_that_no_longer_reports_is_not_taken_for_idle(void **state)
+static void an_engine_without_recent_reports_is_not_taken_for_idle(void **state)
 {
-    uint32_t sent_to_silent = 0;
+    uint32_t sent_without_report = 0;
     for (uint32_t gateway = 0; gateway < 149; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
         struct backend_criteria criteria = criteria_of();
@@ -746,14 +747,14 @@
         add(pool, 2, 1, 0);
         report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
         report(pool, 2, (struct backend_load){.version = 1, .running = 6}, 3 * SECOND_US);
-        sent_to_silent += choose(pool, &criteria, 3 * SECOND_US) == silent;
+        sent_without_report += choose(pool, &criteria, 3 * SECOND_US) == silent;
         backend_pool_destroy(pool);
     }
-    assert_int_equal(sent_to_silent, 0);
+    assert_int_equal(sent_without_report, 0);
 }
 
 /* The loader may be dead and the engine alive: who had answers goes on, within its part. */
-static void an_engine_that_answers_goes_on_without_reports(void **state)
+static void an_answering_engine_gets_requests_without_reports(void **state)
 {
     uint32_t begun = 0;
     for (uint32_t gateway = 0; gateway < 30; gateway++) {
@@ -774,7 +775,7 @@
     assert_in_range(begun, 8, 24); /* 16 slots for all of them */
 }
 
-static void a_report_of_lost_weights_goes_before_the_list(void **state)
+static void a_report_of_lost_weights_overrides_the_list(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
@@ -785,7 +786,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_gateway_that_has_just_begun_waits_for_reports(void **state)
+static void a_new_gateway_waits_for_the_first_load_reports(void **state)
 {
     struct backend_pool_settings young = settings;
     young.created = SECOND_US;
@@ -803,48 +804,48 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(many_gateways_do_not_overfill_an_engine),
-        cmocka_unit_test(gateways_of_the_own_region_get_most_places),
-        cmocka_unit_test(an_engine_that_no_longer_reports_is_not_taken_for_idle),
-        cmocka_unit_test(an_engine_that_answers_goes_on_without_reports),
-        cmocka_unit_test(a_report_of_lost_weights_goes_before_the_list),
-        cmocka_unit_test(a_gateway_that_has_just_begun_waits_for_reports),
-        cmocka_unit_test(draining_and_empty_engines_get_nothing),
-        cmocka_unit_test(a_dropped_entry_lasts_until_its_time),
-        cmocka_unit_test(what_a_failing_list_drops_is_doubted),
-        cmocka_unit_test(what_was_lost_meanwhile_is_told_when_the_list_is_back),
-        cmocka_unit_test(what_a_sound_list_dropped_stays_dropped_when_it_fails),
-        cmocka_unit_test(a_keeper_not_heard_of_yet_has_not_failed),
-        cmocka_unit_test(a_keeper_not_heard_of_for_long_has_failed),
-        cmocka_unit_test(an_engine_that_is_as_silent_is_no_other),
-        cmocka_unit_test(an_entry_that_is_written_late_changes_nothing),
-        cmocka_unit_test(that_a_start_leaves_is_final),
-        cmocka_unit_test(a_later_start_is_not_bound_by_what_the_list_said_before),
-        cmocka_unit_test(without_dates_a_lower_sequence_may_be_of_the_next_start),
-        cmocka_unit_test(without_dates_the_order_of_entries_decides),
-        cmocka_unit_test(an_address_belongs_to_its_newest_start),
-        cmocka_unit_test(old_versions_get_nothing_in_time),
-        cmocka_unit_test(an_engine_on_a_slow_link_gets_no_old_version_late),
-        cmocka_unit_test(an_engine_that_stays_silent_gets_nothing_more),
-        cmocka_unit_test(an_engine_that_loads_gets_nothing),
-        cmocka_unit_test(streams_broken_off_for_new_weights_are_no_fault),
-        cmocka_unit_test(a_long_stream_goes_where_no_turn_comes_before_its_end),
-        cmocka_unit_test(a_long_stream_goes_to_an_engine_near_its_turn_when_there_is_no_other),
-        cmocka_unit_test(a_begun_stream_has_somebody_while_an_engine_of_its_version_may_take_it),
-        cmocka_unit_test(an_id_that_starts_again_begins_anew),
-        cmocka_unit_test(a_report_of_an_earlier_start_is_left_out),
-        cmocka_unit_test(a_report_may_tell_of_a_start_before_the_list_does),
-        cmocka_unit_test(a_dropped_back_end_is_not_listed_by_a_report),
-        cmocka_unit_test(an_ended_back_end_gets_nothing_until_it_shows_again),
-        cmocka_unit_test(an_empty_engine_may_serve_what_it_is_to_hold),
-        cmocka_unit_test(a_rank_key_takes_same_requests_to_one_back_end),
-        cmocka_unit_test(a_start_that_seems_older_is_believed_when_the_list_says_so),
-        cmocka_unit_test(an_entry_that_alone_does_not_date_its_start_is_not_used),
-        cmocka_unit_test(an_undated_entry_is_not_used_beside_one_dated_of_a_small_service),
-        cmocka_unit_test(prompts_at_one_engine_are_bounded),
-        cmocka_unit_test(engines_near_go_first_until_they_hold_more),
-        cmocka_unit_test(a_failing_back_end_is_ejected_and_probed),
-        cmocka_unit_test(a_released_back_end_outlives_its_listing),
+        cmocka_unit_test(many_gateways_together_do_not_overload_an_engine),
+        cmocka_unit_test(gateways_of_the_own_region_get_most_slots),
+        cmocka_unit_test(an_engine_without_recent_reports_is_not_taken_for_idle),
+        cmocka_unit_test(an_answering_engine_gets_requests_without_reports),
+        cmocka_unit_test(a_report_of_lost_weights_overrides_the_list),
+        cmocka_unit_test(a_new_gateway_waits_for_the_first_load_reports),
+        cmocka_unit_test(draining_and_empty_engines_are_not_eligible),
+        cmocka_unit_test(an_unlisted_backend_stays_usable_for_its_grace_period),
+        cmocka_unit_test(entries_lost_in_a_store_outage_stay_until_the_store_recovers),
+        cmocka_unit_test(an_entry_lost_in_an_outage_gets_the_relist_grace_period),
+        cmocka_unit_test(a_later_outage_does_not_extend_an_ordinary_unlisting),
+        cmocka_unit_test(a_store_that_answers_soon_after_the_start_has_not_failed),
+        cmocka_unit_test(an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period),
+        cmocka_unit_test(heard_after_rules_out_engines_that_are_silent_since),
+        cmocka_unit_test(an_entry_with_a_lower_sequence_is_ignored),
+        cmocka_unit_test(draining_is_final_for_a_start),
+        cmocka_unit_test(draining_of_an_earlier_start_does_not_bind_a_later_one),
+        cmocka_unit_test(without_start_times_a_lower_sequence_is_applied),
+        cmocka_unit_test(without_start_times_a_later_entry_revokes_draining),
+        cmocka_unit_test(a_new_entry_replaces_the_backend_at_its_address),
+        cmocka_unit_test(engines_below_the_required_versions_are_not_eligible),
+        cmocka_unit_test(an_engine_that_may_be_late_needs_the_later_version),
+        cmocka_unit_test(a_stalled_engine_gets_no_requests_until_it_answers),
+        cmocka_unit_test(a_loading_engine_is_not_eligible),
+        cmocka_unit_test(streams_aborted_to_load_weights_are_not_failures),
+        cmocka_unit_test(a_long_request_avoids_an_engine_that_will_switch_weights),
+        cmocka_unit_test(a_long_request_goes_to_a_switching_engine_if_there_is_no_other),
+        cmocka_unit_test(an_excluded_engine_of_the_required_version_may_serve_again),
+        cmocka_unit_test(a_restart_under_the_same_id_resets_the_health),
+        cmocka_unit_test(a_report_of_an_earlier_start_is_ignored),
+        cmocka_unit_test(a_report_of_a_later_start_replaces_the_listed_one),
+        cmocka_unit_test(a_report_does_not_list_an_unlisted_backend_again),
+        cmocka_unit_test(a_backend_presumed_down_gets_no_requests_until_it_reports),
+        cmocka_unit_test(an_empty_engine_may_serve_the_version_it_is_about_to_load),
+        cmocka_unit_test(a_rank_key_selects_the_same_backend_in_all_gateways),
+        cmocka_unit_test(a_listed_start_is_current_even_if_its_clock_was_set_back),
+        cmocka_unit_test(an_entry_without_start_time_is_not_trusted_among_dated_ones),
+        cmocka_unit_test(an_undated_entry_of_a_small_service_is_judged_by_all_entries),
+        cmocka_unit_test(pending_prompt_tokens_of_an_engine_are_bounded),
+        cmocka_unit_test(near_engines_are_preferred_until_they_are_busier),
+        cmocka_unit_test(a_failing_backend_is_ejected_and_probed),
+        cmocka_unit_test(a_retained_backend_outlives_its_listing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -64,7 +64,7 @@
     backend_pool_unlist(pool, "i-1", &drop, now);
 }
 
-static void a_back_end_that_leaves_gets_nothing_whatever_the_list_says(void **state)
+static void a_leaving_backend_gets_no_requests_even_if_listed_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -80,7 +80,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_list_that_lapsed_does_not_bring_a_leaving_back_end_back(void **state)
+static void leaving_survives_a_loss_of_the_list(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
@@ -92,15 +92,15 @@
 }
 
 /* The answer to a request that was under way comes after the list dropped its back end. */
-static void what_a_dropped_back_end_says_counts_when_it_is_listed_again(void **state)
+static void statements_of_a_removed_backend_apply_when_it_is_listed_again(void **state)
 {
-    for (int again_first = 0; again_first < 2; again_first++) {
+    for (int listed_first = 0; listed_first < 2; listed_first++) {
         struct backend_pool *pool = backend_pool_create(&settings, 1);
         struct backend *before = backend_retain(list(pool, 1, 7));
         unlist(pool, true, SECOND_US);
         backend_pool_expire(pool, true, 10 * SECOND_US);
         assert_int_equal(backend_pool_count(pool), 0);
-        if (again_first)
+        if (listed_first)
             list(pool, 1, 7);
         backend_pool_apply_statement(pool, before, &leaves, 11 * SECOND_US);
         list(pool, 1, 7);
@@ -110,7 +110,7 @@
     }
 }
 
-static void another_start_is_used_again(void **state)
+static void statements_do_not_bind_the_next_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
@@ -124,7 +124,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_start_without_a_date_is_another_one_where_the_last_one_ended(void **state)
+static void without_start_times_a_backend_shown_after_an_end_is_a_new_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 0);
@@ -146,7 +146,7 @@
 
 /* An entry that is told again is no sign of life: 40 requests went to an address that refused them.
  */
-static void an_entry_that_is_repeated_says_nothing_new_of_its_start(void **state)
+static void a_repeated_entry_does_not_revive_its_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -161,7 +161,7 @@
     backend_pool_destroy(pool);
 }
 
-static void what_its_machine_reports_counts_too(void **state)
+static void leaving_in_a_load_report_counts(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -176,7 +176,7 @@
     backend_pool_destroy(pool);
 }
 
-static void a_back_end_is_left_alone_for_as_long_as_it_asked(void **state)
+static void a_backoff_lasts_as_long_as_requested(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -195,7 +195,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_endless_time_is_cut_to_an_hour(void **state)
+static void a_backoff_is_limited_to_an_hour(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -206,7 +206,7 @@
     backend_pool_destroy(pool);
 }
 
-static void after_its_time_off_one_request_goes_first(void **state)
+static void after_a_backoff_one_probe_goes_first(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -222,7 +222,7 @@
     backend_pool_destroy(pool);
 }
 
-static void others_are_used_while_one_is_left_alone(void **state)
+static void other_backends_are_used_during_a_backoff(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement one = backs_off(SECOND_US);
@@ -237,7 +237,7 @@
 /* In an outage of the list's keeper a back end had started again under its id, and asked for time
  * in an answer. The list named that start 1.2 s later: the answer was taken for one of the start
  * before, and 11 requests of one gateway reached it within the rest of that time. */
-static void a_start_that_the_list_names_late_is_left_alone_as_it_asked(void **state)
+static void a_backoff_holds_for_a_start_that_is_listed_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement three = backs_off(3 * SECOND_US);
@@ -252,136 +252,138 @@
 /* --- orders of events ----------------------------------------------------------------------------
  */
 
-#define WORLD_STEPS 60
-#define WORLD_BACKENDS 3
+#define FUZZ_STEPS 60
+#define FUZZ_BACKENDS 3
 
 /* What the back ends have said, seen from outside the pool. */
-struct said {
+struct stated {
     uint64_t born;
     bool leaving;
     uint64_t backoff_until;
 };
 
-struct world {
+struct scenario {
     struct backend_pool *pool;
     struct random_stream random;
-    struct said said[WORLD_BACKENDS];
-    struct backend *connected[WORLD_BACKENDS]; /* a request is under way there, or NULL */
+    struct stated stated[FUZZ_BACKENDS];
+    struct backend *connected[FUZZ_BACKENDS]; /* a request is under way there, or NULL */
     uint64_t now;
 };
 
-static void begin_start(struct world *world, int number)
+static void begin_start(struct scenario *scenario, int number)
 {
-    struct said *said = &world->said[number];
-    *said = (struct said){.born = said->born + 1};
+    struct stated *stated = &scenario->stated[number];
+    *stated = (struct stated){.born = stated->born + 1};
 }
 
-static void connect_to(struct world *world, int number)
+static void connect_to(struct scenario *scenario, int number)
 {
     char address[BACKEND_ADDRESS_SIZE];
     snprintf(address, sizeof address, "10.0.0.%d:80", number + 1);
-    struct backend *backend = backend_pool_find_address(world->pool, address);
+    struct backend *backend = backend_pool_find_address(scenario->pool, address);
     if (!backend)
         return;
-    if (world->connected[number])
-        backend_release(world->connected[number]);
-    world->connected[number] = backend_retain(backend);
+    if (scenario->connected[number])
+        backend_release(scenario->connected[number]);
+    scenario->connected[number] = backend_retain(backend);
 }
 
-static void answer(struct world *world, int number)
+static void answer(struct scenario *scenario, int number)
 {
-    struct backend *backend = world->connected[number];
-    struct said *said = &world->said[number];
-    if (!backend || backend->listing.born != said->born)
+    struct backend *backend = scenario->connected[number];
+    struct stated *stated = &scenario->stated[number];
+    if (!backend || backend->listing.born != stated->born)
         return; /* a connection does not outlive its start */
-    struct backend_statement statement = {.works = random_below(&world->random, 2)};
-    statement.leaving = said->leaving || random_below(&world->random, 6) == 0;
-    if (random_below(&world->random, 3) == 0)
-        statement.backoff_us = random_below(&world->random, 4 * SECOND_US);
-    said->leaving = statement.leaving;
-    uint64_t until = world->now + statement.backoff_us;
-    if (statement.backoff_us && until > said->backoff_until)
-        said->backoff_until = until;
-    backend_pool_apply_statement(world->pool, backend, &statement, world->now);
+    struct backend_statement statement = {.works = random_below(&scenario->random, 2)};
+    statement.leaving = stated->leaving || random_below(&scenario->random, 6) == 0;
+    if (random_below(&scenario->random, 3) == 0)
+        statement.backoff_us = random_below(&scenario->random, 4 * SECOND_US);
+    stated->leaving = statement.leaving;
+    uint64_t until = scenario->now + statement.backoff_us;
+    if (statement.backoff_us && until > stated->backoff_until)
+        stated->backoff_until = until;
+    backend_pool_apply_statement(scenario->pool, backend, &statement, scenario->now);
 }
 
-static void step(struct world *world)
+static void step(struct scenario *scenario)
 {
-    int number = (int)random_below(&world->random, WORLD_BACKENDS);
-    struct backend_load load = {.version = 1, .born = world->said[number].born};
+    int number = (int)random_below(&scenario->random, FUZZ_BACKENDS);
+    struct backend_load load = {.version = 1, .born = scenario->stated[number].born};
     char address[BACKEND_ADDRESS_SIZE], id[BACKEND_ID_SIZE];
     snprintf(address, sizeof address, "10.0.0.%d:80", number + 1);
     snprintf(id, sizeof id, "i-%d", number + 1);
-    struct backend_unlisting drop = {world->now, random_below(&world->random, 2)};
-    world->now += random_below(&world->random, SECOND_US);
-    struct backend *backend = backend_pool_find_address(world->pool, address);
-    switch (random_below(&world->random, 11)) {
+    struct backend_unlisting drop = {scenario->now, random_below(&scenario->random, 2)};
+    scenario->now += random_below(&scenario->random, SECOND_US);
+    struct backend *backend = backend_pool_find_address(scenario->pool, address);
+    switch (random_below(&scenario->random, 11)) {
     case 0:
-        begin_start(world, number);
+        begin_start(scenario, number);
         break;
     case 1:
     case 2: /* an entry of the present start, or one that lags behind */
-        list(world->pool, number + 1, world->said[number].born - random_below(&world->random, 2));
+        list(scenario->pool, number + 1,
+             scenario->stated[number].born - random_below(&scenario->random, 2));
         break;
     case 3:
-        backend_pool_unlist(world->pool, id, &drop, world->now);
+        backend_pool_unlist(scenario->pool, id, &drop, scenario->now);
         break;
     case 4:
-        backend_pool_expire(world->pool, random_below(&world->random, 2), world->now);
+        backend_pool_expire(scenario->pool, random_below(&scenario->random, 2), scenario->now);
         break;
     case 5:
-        backend_pool_report(world->pool, address, &load, world->now);
+        backend_pool_report(scenario->pool, address, &load, scenario->now);
         break;
     case 6: /* taken for ended, rightly or not */
         if (backend)
-            backend_pool_mark_down(world->pool, backend, world->now);
+            backend_pool_mark_down(scenario->pool, backend, scenario->now);
         break;
     case 7:
     case 8:
-        connect_to(world, number);
+        connect_to(scenario, number);
         break;
     default:
-        answer(world, number);
+        answer(scenario, number);
     }
 }
 
 /* No choice and no check before a send lets a request go to a start that does not want it. */
-static void check_world(struct world *world)
+static void check_choices(struct scenario *scenario)
 {
     for (int i = 0; i < 4; i++) {
-        struct backend *chosen = choose(world->pool, world->now);
+        struct backend *chosen = choose(scenario->pool, scenario->now);
         if (!chosen)
             return;
-        const struct said *said = &world->said[atoi(chosen->listing.id + 2) - 1];
-        if (chosen->listing.born != said->born)
+        const struct stated *stated = &scenario->stated[atoi(chosen->listing.id + 2) - 1];
+        if (chosen->listing.born != stated->born)
             continue; /* a start that has ended: nobody is there to be bothered */
-        assert_false(said->leaving);
-        assert_true(world->now >= said->backoff_until);
-        assert_true(may_begin(world->pool, chosen, world->now));
+        assert_false(stated->leaving);
+        assert_true(scenario->now >= stated->backoff_until);
+        assert_true(may_begin(scenario->pool, chosen, scenario->now));
     }
 }
 
-static void no_order_of_events_sends_to_who_does_not_want_it(void **state)
+static void no_order_of_events_violates_a_statement(void **state)
 {
     for (uint64_t seed = 1; seed <= 20000; seed++) {
-        struct world world = {.pool = backend_pool_create(&settings, seed), .random.seed = seed};
-        for (int i = 0; i < WORLD_BACKENDS; i++) {
-            world.said[i].born = 1;
-            list(world.pool, i + 1, 1);
+        struct scenario scenario = {.pool = backend_pool_create(&settings, seed),
+                                    .random.seed = seed};
+        for (int i = 0; i < FUZZ_BACKENDS; i++) {
+            scenario.stated[i].born = 1;
+            list(scenario.pool, i + 1, 1);
         }
-        for (int i = 0; i < WORLD_STEPS; i++) {
-            step(&world);
-            check_world(&world);
+        for (int i = 0; i < FUZZ_STEPS; i++) {
+            step(&scenario);
+            check_choices(&scenario);
         }
-        for (int i = 0; i < WORLD_BACKENDS; i++)
-            if (world.connected[i])
-                backend_release(world.connected[i]);
-        backend_pool_destroy(world.pool);
+        for (int i = 0; i < FUZZ_BACKENDS; i++)
+            if (scenario.connected[i])
+                backend_release(scenario.connected[i]);
+        backend_pool_destroy(scenario.pool);
     }
 }
 
 /* Guards against a request that ended leaving engines and was sent on: no such end counted. */
-static void an_end_is_planned_once_the_promised_time_is_over(void **state)
+static void an_exit_is_planned_after_the_minimum_drain_time(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
@@ -396,7 +398,7 @@
     backend_pool_destroy(pool);
 }
 
-static void an_end_is_planned_where_it_is_not_known_since_when_it_leaves(void **state)
+static void an_exit_is_planned_if_the_start_of_leaving_is_not_known(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
@@ -406,7 +408,7 @@
     backend_pool_destroy(pool);
 }
 
-static void what_the_list_dropped_serves_on_too_and_may_come_back(void **state)
+static void an_exit_after_an_unlisting_is_planned_until_listed_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
@@ -420,7 +422,7 @@
     backend_pool_destroy(pool);
 }
 
-static void what_an_outage_dropped_may_live(void **state)
+static void an_exit_after_an_unlisting_in_an_outage_is_not_planned(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
@@ -432,23 +434,23 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_back_end_that_leaves_gets_nothing_whatever_the_list_says),
-        cmocka_unit_test(a_list_that_lapsed_does_not_bring_a_leaving_back_end_back),
-        cmocka_unit_test(what_a_dropped_back_end_says_counts_when_it_is_listed_again),
-        cmocka_unit_test(another_start_is_used_again),
-        cmocka_unit_test(a_start_without_a_date_is_another_one_where_the_last_one_ended),
-        cmocka_unit_test(an_entry_that_is_repeated_says_nothing_new_of_its_start),
-        cmocka_unit_test(what_its_machine_reports_counts_too),
-        cmocka_unit_test(a_back_end_is_left_alone_for_as_long_as_it_asked),
-        cmocka_unit_test(an_endless_time_is_cut_to_an_hour),
-        cmocka_unit_test(after_its_time_off_one_request_goes_first),
-        cmocka_unit_test(others_are_used_while_one_is_left_alone),
-        cmocka_unit_test(a_start_that_the_list_names_late_is_left_alone_as_it_asked),
-        cmocka_unit_test(no_order_of_events_sends_to_who_does_not_want_it),
-        cmocka_unit_test(an_end_is_planned_once_the_promised_time_is_over),
-        cmocka_unit_test(an_end_is_planned_where_it_is_not_known_since_when_it_leaves),
-        cmocka_unit_test(what_the_list_dropped_serves_on_too_and_may_come_back),
-        cmocka_unit_test(what_an_outage_dropped_may_live),
+        cmocka_unit_test(a_leaving_backend_gets_no_requests_even_if_listed_again),
+        cmocka_unit_test(leaving_survives_a_loss_of_the_list),
+        cmocka_unit_test(statements_of_a_removed_backend_apply_when_it_is_listed_again),
+        cmocka_unit_test(statements_do_not_bind_the_next_start),
+        cmocka_unit_test(without_start_times_a_backend_shown_after_an_end_is_a_new_start),
+        cmocka_unit_test(a_repeated_entry_does_not_revive_its_start),
+        cmocka_unit_test(leaving_in_a_load_report_counts),
+        cmocka_unit_test(a_backoff_lasts_as_long_as_requested),
+        cmocka_unit_test(a_backoff_is_limited_to_an_hour),
+        cmocka_unit_test(after_a_backoff_one_probe_goes_first),
+        cmocka_unit_test(other_backends_are_used_during_a_backoff),
+        cmocka_unit_test(a_backoff_holds_for_a_start_that_is_listed_late),
+        cmocka_unit_test(no_order_of_events_violates_a_statement),
+        cmocka_unit_test(an_exit_is_planned_after_the_minimum_drain_time),
+        cmocka_unit_test(an_exit_is_planned_if_the_start_of_leaving_is_not_known),
+        cmocka_unit_test(an_exit_after_an_unlisting_is_planned_until_listed_again),
+        cmocka_unit_test(an_exit_after_an_unlisting_in_an_outage_is_not_planned),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/backend_table_test.c
+++ b/tests/core/backend_table_test.c
@@ -22,7 +22,8 @@
 }
 
 /* Every back end is found, stands where it says, and is among the reported ones if it is one. */
-static void assert_sound(const struct backend_table *table, struct backend **all, uint32_t count)
+static void assert_consistent(const struct backend_table *table, struct backend **all,
+                              uint32_t count)
 {
     uint32_t present = 0;
     for (uint32_t i = 0; i < count; i++) {
@@ -38,7 +39,7 @@
     assert_int_equal(table->count, present);
 }
 
-static void back_ends_are_found_while_others_come_and_go(void **state)
+static void backends_are_found_while_others_are_added_and_removed(void **state)
 {
     static struct backend *all[4 * BACKENDS];
     struct backend_table table = {.count = 0};
@@ -62,9 +63,9 @@
             backend_table_add(&table, all[made++]);
         }
         if (step % 2000 == 0)
-            assert_sound(&table, all, made);
+            assert_consistent(&table, all, made);
     }
-    assert_sound(&table, all, made);
+    assert_consistent(&table, all, made);
     assert_null(backend_table_find_address(&table, "10.9.9.9:80"));
     assert_null(backend_table_group(&table, "none"));
     backend_table_clear(&table);
@@ -75,7 +76,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(back_ends_are_found_while_others_come_and_go),
+        cmocka_unit_test(backends_are_found_while_others_are_added_and_removed),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/balance_test.c
+++ b/tests/core/balance_test.c
@@ -16,7 +16,7 @@
     return chosen;
 }
 
-static void the_less_loaded_of_two_is_taken(void **state)
+static void the_less_loaded_of_two_is_chosen(void **state)
 {
     const struct balance_candidate candidates[] = {{.in_flight = 9, .capacity = 10},
                                                    {.in_flight = 1, .capacity = 10},
@@ -34,7 +34,7 @@
     assert_int_equal(count_choices(balance_two_choices, candidates, 2, 0), 0);
 }
 
-static void much_slower_engines_are_left_out_but_probed(void **state)
+static void much_slower_engines_are_removed_but_probed(void **state)
 {
     struct balance_state balance = {.random = {.seed = 2}};
     uint32_t probes = 0;
@@ -51,7 +51,7 @@
     assert_true(probes > 5 && probes < DRAWS / 20);
 }
 
-static void nobody_is_left_out_while_little_is_known(void **state)
+static void no_engine_is_removed_while_few_speeds_are_known(void **state)
 {
     struct balance_state balance = {.random = {.seed = 2}};
     struct balance_candidate candidates[] = {{.token_us = 20000}, {.token_us = 90000}, {0}};
@@ -61,10 +61,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(the_less_loaded_of_two_is_taken),
+        cmocka_unit_test(the_less_loaded_of_two_is_chosen),
         cmocka_unit_test(a_slow_engine_counts_as_more_loaded),
-        cmocka_unit_test(much_slower_engines_are_left_out_but_probed),
-        cmocka_unit_test(nobody_is_left_out_while_little_is_known),
+        cmocka_unit_test(much_slower_engines_are_removed_but_probed),
+        cmocka_unit_test(no_engine_is_removed_while_few_speeds_are_known),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/load_targets_test.c
+++ b/tests/core/load_targets_test.c
@@ -54,11 +54,11 @@
     uint32_t far;
 };
 
-/* \param told_most the most gateways that one loader tells */
-static struct heard *hear_all(const struct fleet *fleet, uint32_t *told_most)
+/* \param max_receivers the most gateways that one loader tells */
+static struct heard *hear_all(const struct fleet *fleet, uint32_t *max_receivers)
 {
     struct heard *heard = calloc(fleet->gateways, sizeof *heard);
-    *told_most = 0;
+    *max_receivers = 0;
     for (uint32_t i = 0; i < fleet->loaders; i++) {
         struct membership *membership = seen_by(fleet, fleet->gateways + i);
         struct load_targets targets = {0};
@@ -67,31 +67,31 @@
             heard[targets.addresses[k] - 1].near++;
         for (uint32_t k = 0; k < targets.far_count; k++)
             heard[targets.addresses[targets.near_count + k] - 1].far++;
-        if (targets.near_count + targets.far_count > *told_most)
-            *told_most = targets.near_count + targets.far_count;
+        if (targets.near_count + targets.far_count > *max_receivers)
+            *max_receivers = targets.near_count + targets.far_count;
         load_targets_clear(&targets);
         membership_destroy(membership);
     }
     return heard;
 }
 
-static void a_small_fleet_hears_of_all(void **state)
+static void in_a_small_fleet_gateways_receive_all_loads(void **state)
 {
     const struct fleet fleet = {6, 12, 3};
-    uint32_t told_most;
-    struct heard *heard = hear_all(&fleet, &told_most);
+    uint32_t max_receivers;
+    struct heard *heard = hear_all(&fleet, &max_receivers);
     for (uint32_t i = 0; i < fleet.gateways; i++) {
         assert_int_equal(heard[i].near, 4);
         assert_int_equal(heard[i].far, 8);
     }
-    assert_int_equal(told_most, 6);
+    assert_int_equal(max_receivers, 6);
     free(heard);
 }
 
-static void assert_bounded(const struct fleet *fleet, uint32_t told_bound)
+static void assert_bounded(const struct fleet *fleet, uint32_t receivers_bound)
 {
-    uint32_t told_most, near_sum = 0, far_sum = 0;
-    struct heard *heard = hear_all(fleet, &told_most);
+    uint32_t max_receivers, near_sum = 0, far_sum = 0;
+    struct heard *heard = hear_all(fleet, &max_receivers);
     for (uint32_t i = 0; i < fleet->gateways; i++) {
         assert_in_range(heard[i].near, 12, 56); /* 32 on average, drawn by chance */
         assert_in_range(heard[i].far, 1, 28);   /* 10 on average */
@@ -100,18 +100,18 @@
     }
     assert_in_range(near_sum / fleet->gateways, 24, 35);
     assert_in_range(far_sum / fleet->gateways, 8, 12);
-    assert_true(told_most <= told_bound);
+    assert_true(max_receivers <= receivers_bound);
     free(heard);
 }
 
-static void what_a_gateway_hears_does_not_grow_with_the_fleet(void **state)
+static void the_loads_per_gateway_do_not_grow_with_the_fleet(void **state)
 {
     assert_bounded(&(struct fleet){149, 204, 5}, 70);
     assert_bounded(&(struct fleet){100, 500, 5}, 60);
 }
 
 /* 450 gateways and 3,800 loaders in six regions: some of the loaders, as each has its own view. */
-static void a_loader_of_a_large_fleet_tells_few(void **state)
+static void a_loader_of_a_large_fleet_reports_to_few_gateways(void **state)
 {
     const struct fleet fleet = {450, 3800, 6};
     uint32_t told = 0, loaders = 0;
@@ -127,7 +127,7 @@
     assert_in_range(told / loaders, 3, 8); /* 75 x 32 / 633 near, 375 x 10 / 3,167 far */
 }
 
-static void the_dead_are_told_nothing(void **state)
+static void dead_gateways_receive_no_load(void **state)
 {
     const struct fleet fleet = {6, 12, 3};
     struct membership *membership = seen_by(&fleet, 6);
@@ -146,10 +146,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_small_fleet_hears_of_all),
-        cmocka_unit_test(what_a_gateway_hears_does_not_grow_with_the_fleet),
-        cmocka_unit_test(a_loader_of_a_large_fleet_tells_few),
-        cmocka_unit_test(the_dead_are_told_nothing),
+        cmocka_unit_test(in_a_small_fleet_gateways_receive_all_loads),
+        cmocka_unit_test(the_loads_per_gateway_do_not_grow_with_the_fleet),
+        cmocka_unit_test(a_loader_of_a_large_fleet_reports_to_few_gateways),
+        cmocka_unit_test(dead_gateways_receive_no_load),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
