--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -223,7 +223,8 @@
 
 /* The list does not name this start yet. State learned from the earlier start is discarded, except
  * the listing: a backend that was unlisted does not become listed by a restart. */
-static struct backend *begin_start(struct backend_pool *pool, struct backend *before, uint64_t born)
+static struct backend *begin_reported_start(struct backend_pool *pool, struct backend *before,
+                                            uint64_t born)
 {
     struct backend_listing listing = before->listing;
     listing.born = born;
@@ -245,7 +246,7 @@
     if (!backend || is_of_earlier_start(backend, load))
         return NULL;
     if (is_of_later_start(backend, load))
-        backend = begin_start(pool, backend, load->born);
+        backend = begin_reported_start(pool, backend, load->born);
     backend_clear_undated_start(pool, backend);
     backend->presumed_down_until = 0;
     backend->load = *load;
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -20,7 +20,7 @@
 
 struct balance_state {
     struct random_stream random;
-    uint64_t turn; /**< number of choices by round robin */
+    uint64_t turn; /**< number of round-robin choices made */
 };
 
 /**
--- a/tests/core/address_index_test.c
+++ b/tests/core/address_index_test.c
@@ -1,4 +1,4 @@
-/* Places of addresses in a table. */
+/* Look-ups of table positions by address. */
 #include "testing.h"
 
 #include "core/address_index.h"
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -1,4 +1,4 @@
-/* Which back end gets a request, and which gets none. */
+/* Choice of a backend for a request: eligibility, room, grace periods, ejection and load shares. */
 #include "testing.h"
 
 #include "core/backend_pool.h"
@@ -64,14 +64,14 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing leaving = listing_of(1, 1);
-    leaving.draining = true;
-    backend_pool_list(pool, &leaving, 0);
+    struct backend_listing draining = listing_of(1, 1);
+    draining.draining = true;
+    backend_pool_list(pool, &draining, 0);
     add(pool, 2, 0, 0);
     assert_null(choose(pool, &criteria, 1));
-    struct backend *sound = add(pool, 3, 1, 0);
+    struct backend *usable = add(pool, 3, 1, 0);
     for (uint64_t now = 1; now < 50; now++)
-        assert_ptr_equal(choose(pool, &criteria, now), sound);
+        assert_ptr_equal(choose(pool, &criteria, now), usable);
     backend_pool_destroy(pool);
 }
 
@@ -98,7 +98,7 @@
     backend_pool_expire(pool, false, 9 * SECOND_US);
     backend_pool_expire(pool, false, 11 * SECOND_US);
     assert_non_null(choose(pool, &criteria, 12 * SECOND_US));
-    /* It comes back and lists itself again, or it is dropped after all. */
+    /* After the store's recovery it has time to list itself again; then it is removed. */
     backend_pool_expire(pool, true, 13 * SECOND_US);
     assert_non_null(choose(pool, &criteria, 14 * SECOND_US));
     backend_pool_expire(pool, true, 16 * SECOND_US);
@@ -119,8 +119,8 @@
     backend_pool_destroy(pool);
 }
 
-/* A gateway that begins to read the store counts as one without answers until its first watch ends:
- * an entry that had gone before gets no new time from that. */
+/* Until a new gateway's first watch of the store returns, the store counts as failing for it. That
+ * must not prolong the grace period of an entry that was unlisted before. */
 static void a_later_outage_does_not_extend_an_ordinary_unlisting(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -135,12 +135,13 @@
     backend_pool_destroy(pool);
 }
 
-/* After a loss of power the keeper is first heard of some tenths of a second after the start. */
+/* After a power failure the store first answers some tenths of a second after the gateway starts.
+ */
 static void a_store_that_answers_soon_after_the_start_has_not_failed(void **state)
 {
-    struct backend_pool_settings begun = settings;
-    begun.created = 8 * SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&begun, 1);
+    struct backend_pool_settings started = settings;
+    started.created = 8 * SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
     add(pool, 1, 1, 0);
     backend_pool_expire(pool, false, 8 * SECOND_US + 100000);
     backend_pool_expire(pool, true, 8 * SECOND_US + 400000);
@@ -150,12 +151,13 @@
     backend_pool_destroy(pool);
 }
 
-/* Who began while the keeper was away doubts what it drops when it is back. */
+/* A gateway that started during a store outage does not trust the entries that are missing after
+ * it. */
 static void an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period(void **state)
 {
-    struct backend_pool_settings begun = settings;
-    begun.created = 8 * SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&begun, 1);
+    struct backend_pool_settings started = settings;
+    started.created = 8 * SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
     add(pool, 1, 1, 0);
     backend_pool_expire(pool, false, 14 * SECOND_US);
     backend_pool_expire(pool, true, 15 * SECOND_US);
@@ -183,13 +185,13 @@
     backend_pool_destroy(pool);
 }
 
-static bool is_used(struct backend_pool *pool)
+static bool is_eligible(struct backend_pool *pool)
 {
     struct backend_criteria criteria = criteria_of();
     return choose(pool, &criteria, SECOND_US) != NULL;
 }
 
-static void take_entry(struct backend_pool *pool, uint64_t born, uint64_t sequence, bool draining)
+static void apply_entry(struct backend_pool *pool, uint64_t born, uint64_t sequence, bool draining)
 {
     struct backend_listing listing = listing_of(1, 1);
     listing.born = born;
@@ -201,11 +203,11 @@
 static void an_entry_with_a_lower_sequence_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    take_entry(pool, 1000, 8, false);
-    assert_true(is_used(pool));
-    take_entry(pool, 1000, 9, true);
-    take_entry(pool, 1000, 7, false);
-    assert_false(is_used(pool));
+    apply_entry(pool, 1000, 8, false);
+    assert_true(is_eligible(pool));
+    apply_entry(pool, 1000, 9, true);
+    apply_entry(pool, 1000, 7, false);
+    assert_false(is_eligible(pool));
     assert_int_equal(backend_pool_at(pool, 0)->listing.sequence, 9);
     backend_pool_destroy(pool);
 }
@@ -214,15 +216,15 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_unlisting drop = {SECOND_US, false};
-    take_entry(pool, 1000, 8, true);
-    take_entry(pool, 1000, 9, false);
-    assert_false(is_used(pool));
-    /* Also when its entry had gone meanwhile. */
+    apply_entry(pool, 1000, 8, true);
+    apply_entry(pool, 1000, 9, false);
+    assert_false(is_eligible(pool));
+    /* Also if its entry was removed in between. */
     backend_pool_unlist(pool, "i-1", &drop, SECOND_US);
-    take_entry(pool, 1000, 10, false);
-    assert_false(is_used(pool));
-    take_entry(pool, 2000, 1, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 1000, 10, false);
+    assert_false(is_eligible(pool));
+    apply_entry(pool, 2000, 1, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
@@ -230,10 +232,10 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_load load = {.born = 2000, .version = 1};
-    take_entry(pool, 1000, 8, true);
+    apply_entry(pool, 1000, 8, true);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
-    take_entry(pool, 2000, 1, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 2000, 1, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
@@ -241,11 +243,11 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing empty = listing_of(1, 0);
-    take_entry(pool, 0, 8, false);
+    apply_entry(pool, 0, 8, false);
     empty.has_weights = false;
     empty.sequence = 1;
     backend_pool_list(pool, &empty, 0);
-    assert_false(is_used(pool));
+    assert_false(is_eligible(pool));
     assert_int_equal(backend_pool_at(pool, 0)->listing.sequence, 1);
     backend_pool_destroy(pool);
 }
@@ -253,16 +255,16 @@
 static void without_start_times_a_later_entry_revokes_draining(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    take_entry(pool, 0, 8, true);
-    take_entry(pool, 0, 7, false);
-    assert_false(is_used(pool));
-    /* One that is known to have ended says nothing any more: this is the next start. */
+    apply_entry(pool, 0, 8, true);
+    apply_entry(pool, 0, 7, false);
+    assert_false(is_eligible(pool));
+    /* After the backend was presumed down, the next entry is of a new start. */
     backend_pool_mark_down(pool, backend_pool_at(pool, 0), SECOND_US);
-    take_entry(pool, 0, 1, false);
-    assert_true(is_used(pool));
-    take_entry(pool, 0, 2, true);
-    take_entry(pool, 0, 3, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 0, 1, false);
+    assert_true(is_eligible(pool));
+    apply_entry(pool, 0, 2, true);
+    apply_entry(pool, 0, 3, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
@@ -284,7 +286,8 @@
     struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
     criteria.next_min_version = 2;
-    assert_null(choose(pool, &criteria, SECOND_US)); /* soon required, and not at hand there */
+    /* Version 2 is required soon, and the engine has not downloaded it. */
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .staged = true}, SECOND_US);
     assert_non_null(choose(pool, &criteria, SECOND_US));
     criteria.min_version = 2;
@@ -306,7 +309,7 @@
     backend_request_started(backend, 1000, SECOND_US);
     backend_request_answered(backend, 1000, 100000, SECOND_US);
     assert_non_null(choose(pool, &criteria, SECOND_US));
-    /* Without a prompt answer a moment ago nobody knows. */
+    /* Without a recent answer the engine may be late. */
     assert_null(choose(pool, &criteria, 3 * SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .link_slow = true}, SECOND_US);
     assert_null(choose(pool, &criteria, SECOND_US));
@@ -325,7 +328,7 @@
     assert_null(choose(pool, &criteria, SECOND_US + 800000));
     backend_request_answered(backend, 100, 800000, SECOND_US + 800000);
     assert_non_null(choose(pool, &criteria, SECOND_US + 900000));
-    /* It was late: near the bound it gets nothing on the old version. */
+    /* The last answer was late, so the engine needs the later version already. */
     backend_request_ended(pool, backend, BACKEND_SUCCEEDED, 800000, SECOND_US + 900000);
     criteria.later_min_version = 2;
     assert_null(choose(pool, &criteria, SECOND_US + 900000));
@@ -363,12 +366,12 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend *turning = add(pool, 1, 1, 0);
+    struct backend *switching = add(pool, 1, 1, 0);
     struct backend *other = add(pool, 2, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 800}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 1, .running = 15}, SECOND_US);
     criteria.expected_us = 500000;
-    assert_ptr_equal(choose(pool, &criteria, SECOND_US), turning);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), switching);
     criteria.expected_us = 900000;
     for (int i = 0; i < 20; i++)
         assert_ptr_equal(choose(pool, &criteria, SECOND_US), other);
@@ -379,10 +382,10 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend *turning = add(pool, 1, 1, 0);
+    struct backend *switching = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 100}, SECOND_US);
     criteria.expected_us = 900000;
-    assert_ptr_equal(choose(pool, &criteria, SECOND_US), turning);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), switching);
     backend_pool_destroy(pool);
 }
 
@@ -396,8 +399,8 @@
     report(pool, 1, (struct backend_load){.version = 1, .running = 19}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 2}, SECOND_US);
     assert_null(choose(pool, &criteria, SECOND_US));
-    assert_true(
-        backend_pool_may_serve(pool, &criteria, SECOND_US)); /* it was tried; it may be again */
+    /* It was tried before, and may be again. */
+    assert_true(backend_pool_may_serve(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
     assert_false(backend_pool_may_serve(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
@@ -452,15 +455,15 @@
     backend_request_started(before, 1000, SECOND_US);
     struct backend *after = backend_pool_report(pool, listing.address, &empty, SECOND_US);
     assert_int_equal(after->in_flight, 0);
-    assert_null(choose(pool, &criteria, SECOND_US)); /* it holds no weights */
+    assert_null(choose(pool, &criteria, SECOND_US)); /* it has no weights */
     listing.born = 2000;
     assert_ptr_equal(backend_pool_list(pool, &listing, 0), after);
     assert_null(backend_pool_report(pool, listing.address, &late, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-/* Its clock was set back between two starts: the list's last word decides. */
-/* The list dropped it before; a start that only its loader knows of is not listed by that. */
+/* A start that only its loader knows of, after the list dropped the backend, gets no new listing.
+ */
 static void a_report_does_not_list_an_unlisted_backend_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -488,10 +491,10 @@
     backend_pool_mark_down(pool, backend, 2);
     struct backend *chosen;
     assert_int_equal(backend_pool_choose(pool, &criteria, 3, &chosen), BACKEND_NONE);
-    assert_true(backend_pool_may_serve(pool, &criteria, 3)); /* it comes back */
+    assert_true(backend_pool_may_serve(pool, &criteria, 3)); /* it may restart */
     report(pool, 1, later, SECOND_US);
     assert_non_null(choose(pool, &criteria, SECOND_US));
-    /* The end was believed by mistake: nothing new is heard. */
+    /* It was presumed down by mistake, and no report follows. */
     backend = choose(pool, &criteria, SECOND_US);
     backend_pool_mark_down(pool, backend, SECOND_US);
     assert_null(choose(pool, &criteria, SECOND_US));
@@ -499,7 +502,7 @@
     backend_pool_destroy(pool);
 }
 
-/* A begun stream waits for an engine that started again, empty, and gets its version. */
+/* A stream waits for a restarted, empty engine that is about to load the stream's version. */
 static void an_empty_engine_may_serve_the_version_it_is_about_to_load(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -511,7 +514,7 @@
     assert_false(backend_pool_may_serve(pool, &criteria, 1));
     criteria.coming_version = 2;
     assert_true(backend_pool_may_serve(pool, &criteria, 1));
-    criteria.min_version = 3; /* nobody may begin it any more */
+    criteria.min_version = 3; /* no request may start on version 2 any more */
     assert_false(backend_pool_may_serve(pool, &criteria, 1));
     backend_pool_destroy(pool);
 }
@@ -539,6 +542,7 @@
         backend_pool_destroy(pools[i]);
 }
 
+/* The backend's clock was set back between two starts: the last entry of the list decides. */
 static void a_listed_start_is_current_even_if_its_clock_was_set_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -558,8 +562,8 @@
     struct backend_criteria criteria = criteria_of();
     struct backend_listing dated = start_of(1000);
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_ptr_equal(choose(pool, &criteria, SECOND_US),
-                     undated); /* nobody does on this platform */
+    /* No entry has a start time yet. */
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), undated);
     struct backend *first = backend_pool_list(pool, &dated, 0);
     struct backend_listing other = listing_of(3, 1);
     other.born = 1000;
@@ -571,7 +575,8 @@
     backend_pool_destroy(pool);
 }
 
-/* One of two back ends of the service is away: what those of other services say counts then. */
+/* One of two backends of the service is gone, so the service has no majority of its own: the
+ * entries of all services decide. */
 static void an_undated_entry_of_a_small_service_is_judged_by_all_entries(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -584,11 +589,12 @@
         backend_pool_list(pool, &other, 0);
     }
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_true(backend_may_start_request(pool, undated, &criteria,
-                                          SECOND_US)); /* its service may not date */
+    /* Its service may give no start times. */
+    assert_true(backend_may_start_request(pool, undated, &criteria, SECOND_US));
     backend_pool_list(pool, &dated, 0);
     assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
-    /* Both dated ones of a service had left, and a request went to where a bad entry led. */
+    /* Guards against a request that followed a bad entry after both backends with a start time had
+     * left the service. */
     dated.draining = true;
     backend_pool_list(pool, &dated, 0);
     unlist(pool, false, SECOND_US);
@@ -611,7 +617,7 @@
     assert_int_equal(backend_pool_choose(pool, &criteria, SECOND_US, &chosen), BACKEND_FULL);
     backend_request_answered(backend, 1000, 100000, SECOND_US);
     assert_non_null(choose(pool, &criteria, SECOND_US));
-    /* A prompt above the bound goes to an engine that reads nothing else. */
+    /* A prompt above the bound goes only to an engine without other pending prompts. */
     criteria.tokens = 9000;
     assert_null(choose(pool, &criteria, SECOND_US));
     for (uint32_t i = 0; i < 3; i++)
@@ -649,7 +655,7 @@
     for (int i = 0; i < 50; i++)
         assert_ptr_equal(choose(pool, &criteria, now), good);
     now += SECOND_US;
-    assert_ptr_equal(choose(pool, &criteria, now), bad); /* one request finds out */
+    assert_ptr_equal(choose(pool, &criteria, now), bad); /* the probe */
     backend_request_started(bad, 1000, SECOND_US);
     for (int i = 0; i < 50; i++)
         assert_ptr_equal(choose(pool, &criteria, now), good);
@@ -672,7 +678,7 @@
     backend_pool_destroy(pool);
 }
 
-/* Every gateway sees the same report: together they must not send much more than there is room. */
+/* All gateways see the same report. Together they must not send much more than the free slots. */
 static void many_gateways_together_do_not_overload_an_engine(void **state)
 {
     const uint32_t gateways = 34;
@@ -692,10 +698,10 @@
         }
         backend_pool_destroy(pool);
     }
-    assert_in_range(begun, 19, 42); /* 16 slots and a queue of 3, twice that at most */
+    assert_in_range(begun, 19, 42); /* 16 slots and a queue of 3, overcommitted twice at most */
 }
 
-/* \return requests that all gateways together begin at one engine after one report of it */
+/* \return number of requests that all gateways together start at one engine after one report */
 static uint32_t started_by_all(uint32_t near_gateways, uint32_t far_gateways,
                                uint32_t *started_by_near)
 {
@@ -721,12 +727,12 @@
     return begun;
 }
 
-/* Of 149 gateways 30 are in the engine's region: its places are theirs first. */
+/* 30 of 149 gateways are in the engine's region, and get most of its slots. */
 static void gateways_of_the_own_region_get_most_slots(void **state)
 {
     uint32_t started_by_near;
     uint32_t begun = started_by_all(30, 119, &started_by_near);
-    assert_in_range(begun, 19, 46); /* 16 slots and a queue of 3, some two times that at most */
+    assert_in_range(begun, 19, 46); /* 16 slots and a queue of 3, about twice that at most */
     assert_in_range(started_by_near, 19, 38);
     begun = started_by_all(2, 4, &started_by_near);
     assert_in_range(begun, 19, 46);
@@ -734,8 +740,8 @@
     assert_in_range(begun, 19, 46);
 }
 
-/* Frozen machines report nothing: at 149 gateways each of them sent a request to every such engine,
- * as it looked idle. */
+/* Guards against a failure with 149 gateways: frozen machines send no reports, and each gateway
+ * sent a request to every such engine, as it looked idle. */
 static void an_engine_without_recent_reports_is_not_taken_for_idle(void **state)
 {
     uint32_t sent_without_report = 0;
@@ -753,7 +759,8 @@
     assert_int_equal(sent_without_report, 0);
 }
 
-/* The loader may be dead and the engine alive: who had answers goes on, within its part. */
+/* The loader may be down while the engine works: a gateway with recent answers continues within its
+ * share. */
 static void an_answering_engine_gets_requests_without_reports(void **state)
 {
     uint32_t begun = 0;
@@ -788,9 +795,9 @@
 
 static void a_new_gateway_waits_for_the_first_load_reports(void **state)
 {
-    struct backend_pool_settings young = settings;
-    young.created = SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&young, 1);
+    struct backend_pool_settings started = settings;
+    started.created = SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
     struct backend_criteria criteria = criteria_of();
     struct backend *chosen;
     add(pool, 1, 2, 0);
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -1,4 +1,4 @@
-/* What back ends say of themselves binds until their start ends, whatever a list says. */
+/* Statements of backends about themselves hold for their start, whatever the list says. */
 #include "testing.h"
 
 #include "core/backend_pool.h"
@@ -16,7 +16,7 @@
                                                       .unlisted_grace_us = 2 * SECOND_US,
                                                       .min_drain_us = 2 * SECOND_US};
 
-static const struct backend_statement leaves = {.leaving = true};
+static const struct backend_statement leaving = {.leaving = true};
 static const struct backend_statement works = {.works = true};
 
 static struct backend_statement backs_off(uint64_t backoff_us)
@@ -69,8 +69,8 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
     assert_ptr_equal(choose(pool, 1), backend);
-    assert_true(backend_pool_apply_statement(pool, backend, &leaves, 2).now_leaving);
-    assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &leaves, 3)));
+    assert_true(backend_pool_apply_statement(pool, backend, &leaving, 2).now_leaving);
+    assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &leaving, 3)));
     assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &works, 4)));
     assert_null(choose(pool, 5));
     assert_false(may_begin(pool, backend, 5));
@@ -83,7 +83,7 @@
 static void leaving_survives_a_loss_of_the_list(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaving, 2);
     unlist(pool, true, 3);
     assert_int_equal(backend_pool_count(pool), 0);
     list(pool, 1, 7);
@@ -91,7 +91,7 @@
     backend_pool_destroy(pool);
 }
 
-/* The answer to a request that was under way comes after the list dropped its back end. */
+/* The answer to a request in flight arrives after its backend was removed. */
 static void statements_of_a_removed_backend_apply_when_it_is_listed_again(void **state)
 {
     for (int listed_first = 0; listed_first < 2; listed_first++) {
@@ -102,7 +102,7 @@
         assert_int_equal(backend_pool_count(pool), 0);
         if (listed_first)
             list(pool, 1, 7);
-        backend_pool_apply_statement(pool, before, &leaves, 11 * SECOND_US);
+        backend_pool_apply_statement(pool, before, &leaving, 11 * SECOND_US);
         list(pool, 1, 7);
         assert_null(choose(pool, 12 * SECOND_US));
         backend_release(before);
@@ -113,11 +113,11 @@
 static void statements_do_not_bind_the_next_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaves, 2);
+    backend_pool_apply_statement(pool, list(pool, 1, 7), &leaving, 2);
     struct backend *next = list(pool, 1, 8);
     assert_ptr_equal(choose(pool, 3), next);
-    /* Its machine may know of a start before the list does. */
-    backend_pool_apply_statement(pool, next, &leaves, 4);
+    /* A load report may name a later start before the list does. */
+    backend_pool_apply_statement(pool, next, &leaving, 4);
     struct backend_load load = {.version = 1, .born = 9};
     assert_non_null(backend_pool_report(pool, "10.0.0.1:80", &load, 5));
     assert_non_null(choose(pool, 6));
@@ -129,13 +129,13 @@
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 0);
     struct backend_load load = {.version = 1};
-    backend_pool_apply_statement(pool, backend, &leaves, 2);
+    backend_pool_apply_statement(pool, backend, &leaving, 2);
     backend_pool_report(pool, "10.0.0.1:80", &load, 3);
     assert_null(choose(pool, 4));
     backend_pool_mark_down(pool, backend, 5);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
     assert_ptr_equal(choose(pool, SECOND_US), backend);
-    /* Nor does it come back with the entry, once that has lapsed. */
+    /* The cleared statement is not restored with the entry after an unlisting. */
     unlist(pool, false, 2 * SECOND_US);
     backend_pool_expire(pool, true, 9 * SECOND_US);
     assert_ptr_equal(choose(pool, 9 * SECOND_US), NULL);
@@ -144,8 +144,8 @@
     backend_pool_destroy(pool);
 }
 
-/* An entry that is told again is no sign of life: 40 requests went to an address that refused them.
- */
+/* Guards against taking a repeated entry for evidence that the backend is up: 40 requests went to
+ * an address that refused them. */
 static void a_repeated_entry_does_not_revive_its_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -153,7 +153,7 @@
     backend_pool_mark_down(pool, backend, 2);
     assert_ptr_equal(list(pool, 1, 7), backend);
     assert_null(choose(pool, 3));
-    backend_pool_apply_statement(pool, backend, &leaves, 4);
+    backend_pool_apply_statement(pool, backend, &leaving, 4);
     list(pool, 1, 7);
     struct backend_load load = {.version = 1, .born = 7};
     backend_pool_report(pool, "10.0.0.1:80", &load, 5);
@@ -168,7 +168,7 @@
     struct backend_load load = {.version = 1, .born = 7, .leaving = true};
     backend_pool_report(pool, "10.0.0.1:80", &load, 2);
     assert_null(choose(pool, 3));
-    /* Also when the machine falls silent. */
+    /* Also when the reports stop. */
     assert_null(choose(pool, 60 * SECOND_US));
     load.leaving = false;
     backend_pool_report(pool, "10.0.0.1:80", &load, 61 * SECOND_US);
@@ -183,8 +183,8 @@
     struct backend_statement three = backs_off(3 * SECOND_US), one = backs_off(SECOND_US);
     assert_true(backend_pool_apply_statement(pool, backend, &three, 0).now_backed_off);
     assert_true(is_unchanged(backend_pool_apply_statement(pool, backend, &one, SECOND_US)));
-    backend_pool_apply_statement(pool, backend, &works,
-                                 2 * SECOND_US); /* an answer to an earlier request */
+    /* An answer to an earlier request. */
+    backend_pool_apply_statement(pool, backend, &works, 2 * SECOND_US);
     assert_null(choose(pool, 3 * SECOND_US - 1));
     assert_false(may_begin(pool, backend, 3 * SECOND_US - 1));
     assert_int_equal(backend_pool_backoff_end(pool, &criteria, SECOND_US), 3 * SECOND_US);
@@ -234,9 +234,10 @@
     backend_pool_destroy(pool);
 }
 
-/* In an outage of the list's keeper a back end had started again under its id, and asked for time
- * in an answer. The list named that start 1.2 s later: the answer was taken for one of the start
- * before, and 11 requests of one gateway reached it within the rest of that time. */
+/* Guards against a backoff that is lost at a restart. During a store outage a backend restarted
+ * under its id and asked for a backoff in an answer. The list named the new start 1.2 s later, so
+ * the backoff was attributed to the earlier start, and 11 requests of one gateway reached the
+ * backend before the backoff was over. */
 static void a_backoff_holds_for_a_start_that_is_listed_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -249,13 +250,13 @@
     backend_pool_destroy(pool);
 }
 
-/* --- orders of events ----------------------------------------------------------------------------
+/* --- random orders of events ---------------------------------------------------------------------
  */
 
 #define FUZZ_STEPS 60
 #define FUZZ_BACKENDS 3
 
-/* What the back ends have said, seen from outside the pool. */
+/* What the current start of a backend has stated, tracked outside the pool. */
 struct stated {
     uint64_t born;
     bool leaving;
@@ -266,7 +267,7 @@
     struct backend_pool *pool;
     struct random_stream random;
     struct stated stated[FUZZ_BACKENDS];
-    struct backend *connected[FUZZ_BACKENDS]; /* a request is under way there, or NULL */
+    struct backend *connected[FUZZ_BACKENDS]; /* with a request in flight, or NULL */
     uint64_t now;
 };
 
@@ -293,7 +294,7 @@
     struct backend *backend = scenario->connected[number];
     struct stated *stated = &scenario->stated[number];
     if (!backend || backend->listing.born != stated->born)
-        return; /* a connection does not outlive its start */
+        return; /* connections end with their start */
     struct backend_statement statement = {.works = random_below(&scenario->random, 2)};
     statement.leaving = stated->leaving || random_below(&scenario->random, 6) == 0;
     if (random_below(&scenario->random, 3) == 0)
@@ -320,7 +321,7 @@
         begin_start(scenario, number);
         break;
     case 1:
-    case 2: /* an entry of the present start, or one that lags behind */
+    case 2: /* an entry of the current start, or an outdated one */
         list(scenario->pool, number + 1,
              scenario->stated[number].born - random_below(&scenario->random, 2));
         break;
@@ -333,7 +334,7 @@
     case 5:
         backend_pool_report(scenario->pool, address, &load, scenario->now);
         break;
-    case 6: /* taken for ended, rightly or not */
+    case 6: /* presumed down, rightly or not */
         if (backend)
             backend_pool_mark_down(scenario->pool, backend, scenario->now);
         break;
@@ -346,7 +347,8 @@
     }
 }
 
-/* No choice and no check before a send lets a request go to a start that does not want it. */
+/* Neither the choice nor the check before sending lets a request go to a start that is leaving or
+ * backed off. */
 static void check_choices(struct scenario *scenario)
 {
     for (int i = 0; i < 4; i++) {
@@ -355,7 +357,7 @@
             return;
         const struct stated *stated = &scenario->stated[atoi(chosen->listing.id + 2) - 1];
         if (chosen->listing.born != stated->born)
-            continue; /* a start that has ended: nobody is there to be bothered */
+            continue; /* this start has already ended */
         assert_false(stated->leaving);
         assert_true(scenario->now >= stated->backoff_until);
         assert_true(may_begin(scenario->pool, chosen, scenario->now));
@@ -382,18 +384,19 @@
     }
 }
 
-/* Guards against a request that ended leaving engines and was sent on: no such end counted. */
+/* Guards against a request that crashed leaving engines and was sent to the next one each time:
+ * none of these crashes was counted. */
 static void an_exit_is_planned_after_the_minimum_drain_time(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
     assert_false(backend_exit_is_planned(pool, backend, 100 * SECOND_US));
-    backend_pool_apply_statement(pool, backend, &leaves, 100 * SECOND_US);
+    backend_pool_apply_statement(pool, backend, &leaving, 100 * SECOND_US);
     backend_record_leaving(backend, 100 * SECOND_US);
-    backend_record_leaving(backend, 101 * SECOND_US); /* the first word counts */
+    backend_record_leaving(backend, 101 * SECOND_US); /* the first record counts */
     assert_false(backend_exit_is_planned(pool, backend, 102 * SECOND_US - 1));
     assert_true(backend_exit_is_planned(pool, backend, 102 * SECOND_US));
-    backend = list(pool, 1, 6); /* the next start says nothing */
+    backend = list(pool, 1, 6); /* the next start has not announced anything */
     assert_false(backend_exit_is_planned(pool, backend, 110 * SECOND_US));
     backend_pool_destroy(pool);
 }
@@ -402,7 +405,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 5);
-    backend_pool_apply_statement(pool, backend, &leaves, 100 * SECOND_US);
+    backend_pool_apply_statement(pool, backend, &leaving, 100 * SECOND_US);
     backend_record_leaving(backend, 0);
     assert_true(backend_exit_is_planned(pool, backend, 100 * SECOND_US));
     backend_pool_destroy(pool);
--- a/tests/core/backend_table_test.c
+++ b/tests/core/backend_table_test.c
@@ -1,4 +1,4 @@
-/* Look-ups and groups of the table of back ends, beside a walk over all of them. */
+/* Look-ups and groups of the backend table, compared with a plain list of all backends. */
 #include "testing.h"
 
 #include "core/backend_table.h"
@@ -11,7 +11,7 @@
 #define BACKENDS 3800
 #define SERVICES 3
 
-static struct backend *make(uint32_t number)
+static struct backend *create_backend(uint32_t number)
 {
     struct backend *backend = calloc(1, sizeof *backend);
     snprintf(backend->listing.id, sizeof backend->listing.id, "i-%u", number);
@@ -21,7 +21,8 @@
     return backend;
 }
 
-/* Every back end is found, stands where it says, and is among the reported ones if it is one. */
+/* Every backend is found, is at its recorded index, and is among the reported ones if it has a load
+ * report. */
 static void assert_consistent(const struct backend_table *table, struct backend **all,
                               uint32_t count)
 {
@@ -46,20 +47,20 @@
     struct random_stream random = {.seed = 5};
     uint32_t made = 0;
     while (made < BACKENDS) {
-        all[made] = make(made);
+        all[made] = create_backend(made);
         backend_table_add(&table, all[made++]);
     }
     for (uint32_t step = 0; step < 3 * BACKENDS; step++) {
-        uint32_t victim = (uint32_t)random_below(&random, made);
-        if (all[victim] && step % 2) {
-            all[victim]->load_at = !all[victim]->load_at;
-            backend_table_set_reported(&table, all[victim], all[victim]->load_at);
-        } else if (all[victim]) {
-            backend_table_remove(&table, all[victim]);
-            assert_null(backend_table_find_id(&table, all[victim]->listing.id));
-            free(all[victim]);
-            all[victim] = NULL;
-            all[made] = make(made);
+        uint32_t index = (uint32_t)random_below(&random, made);
+        if (all[index] && step % 2) {
+            all[index]->load_at = !all[index]->load_at;
+            backend_table_set_reported(&table, all[index], all[index]->load_at);
+        } else if (all[index]) {
+            backend_table_remove(&table, all[index]);
+            assert_null(backend_table_find_id(&table, all[index]->listing.id));
+            free(all[index]);
+            all[index] = NULL;
+            all[made] = create_backend(made);
             backend_table_add(&table, all[made++]);
         }
         if (step % 2000 == 0)
--- a/tests/core/balance_test.c
+++ b/tests/core/balance_test.c
@@ -1,3 +1,4 @@
+/* Load balancing over candidate agents. */
 #include "testing.h"
 
 #include "core/balance.h"
--- a/tests/core/load_targets_test.c
+++ b/tests/core/load_targets_test.c
@@ -1,4 +1,4 @@
-/* Who hears of an engine's load: everybody in a small fleet, a bounded part of a large one. */
+/* Recipients of load reports: all gateways of a small fleet, a bounded number in a large one. */
 #include "testing.h"
 
 #include "core/load_targets.h"
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/** A made-up fleet: gateways first, then loaders, over regions in turn; addresses are indexes + 1.
- */
+/** A fleet of gateways followed by loaders, distributed over the regions in turn; the address of a
+ *  member is its index + 1. */
 struct fleet {
     uint32_t gateways;
     uint32_t loaders;
@@ -18,8 +18,8 @@
 {
 }
 
-static void hear(struct membership *membership, const struct fleet *fleet, uint32_t index,
-                 enum member_health health)
+static void learn_member(struct membership *membership, const struct fleet *fleet, uint32_t index,
+                         enum member_health health)
 {
     Shuntrun__MemberMessage message = SHUNTRUN__MEMBER_MESSAGE__INIT;
     Shuntrun__MemberNews news = SHUNTRUN__MEMBER_NEWS__INIT, *pointer = &news;
@@ -35,7 +35,7 @@
     membership_read(membership, 999999, &message, 1000);
 }
 
-static struct membership *seen_by(const struct fleet *fleet, uint32_t self_index)
+static struct membership *membership_of(const struct fleet *fleet, uint32_t self_index)
 {
     static const struct membership_settings settings = {.period_us = 1000000};
     struct membership_driver driver = {NULL, ignore_send};
@@ -44,64 +44,64 @@
     struct membership *membership = membership_create(&settings, &self, self_index, &driver);
     for (uint32_t i = 0; i < fleet->gateways + fleet->loaders; i++)
         if (i != self_index)
-            hear(membership, fleet, i, MEMBER_ALIVE);
+            learn_member(membership, fleet, i, MEMBER_ALIVE);
     return membership;
 }
 
-/* Loaders that each gateway hears of. */
-struct heard {
+/* Number of loaders whose reports a gateway receives. */
+struct received {
     uint32_t near;
     uint32_t far;
 };
 
-/* \param max_receivers the most gateways that one loader tells */
-static struct heard *hear_all(const struct fleet *fleet, uint32_t *max_receivers)
+/* \param max_receivers greatest number of gateways that one loader reports to */
+static struct received *collect_received(const struct fleet *fleet, uint32_t *max_receivers)
 {
-    struct heard *heard = calloc(fleet->gateways, sizeof *heard);
+    struct received *received = calloc(fleet->gateways, sizeof *received);
     *max_receivers = 0;
     for (uint32_t i = 0; i < fleet->loaders; i++) {
-        struct membership *membership = seen_by(fleet, fleet->gateways + i);
+        struct membership *membership = membership_of(fleet, fleet->gateways + i);
         struct load_targets targets = {0};
         load_targets_refresh(&targets, membership);
         for (uint32_t k = 0; k < targets.near_count; k++)
-            heard[targets.addresses[k] - 1].near++;
+            received[targets.addresses[k] - 1].near++;
         for (uint32_t k = 0; k < targets.far_count; k++)
-            heard[targets.addresses[targets.near_count + k] - 1].far++;
+            received[targets.addresses[targets.near_count + k] - 1].far++;
         if (targets.near_count + targets.far_count > *max_receivers)
             *max_receivers = targets.near_count + targets.far_count;
         load_targets_clear(&targets);
         membership_destroy(membership);
     }
-    return heard;
+    return received;
 }
 
 static void in_a_small_fleet_gateways_receive_all_loads(void **state)
 {
     const struct fleet fleet = {6, 12, 3};
     uint32_t max_receivers;
-    struct heard *heard = hear_all(&fleet, &max_receivers);
+    struct received *received = collect_received(&fleet, &max_receivers);
     for (uint32_t i = 0; i < fleet.gateways; i++) {
-        assert_int_equal(heard[i].near, 4);
-        assert_int_equal(heard[i].far, 8);
+        assert_int_equal(received[i].near, 4);
+        assert_int_equal(received[i].far, 8);
     }
     assert_int_equal(max_receivers, 6);
-    free(heard);
+    free(received);
 }
 
 static void assert_bounded(const struct fleet *fleet, uint32_t receivers_bound)
 {
     uint32_t max_receivers, near_sum = 0, far_sum = 0;
-    struct heard *heard = hear_all(fleet, &max_receivers);
+    struct received *received = collect_received(fleet, &max_receivers);
     for (uint32_t i = 0; i < fleet->gateways; i++) {
-        assert_in_range(heard[i].near, 12, 56); /* 32 on average, drawn by chance */
-        assert_in_range(heard[i].far, 1, 28);   /* 10 on average */
-        near_sum += heard[i].near;
-        far_sum += heard[i].far;
+        assert_in_range(received[i].near, 12, 56); /* 32 on average, selected by hash */
+        assert_in_range(received[i].far, 1, 28);   /* 10 on average */
+        near_sum += received[i].near;
+        far_sum += received[i].far;
     }
     assert_in_range(near_sum / fleet->gateways, 24, 35);
     assert_in_range(far_sum / fleet->gateways, 8, 12);
     assert_true(max_receivers <= receivers_bound);
-    free(heard);
+    free(received);
 }
 
 static void the_loads_per_gateway_do_not_grow_with_the_fleet(void **state)
@@ -110,31 +110,32 @@
     assert_bounded(&(struct fleet){100, 500, 5}, 60);
 }
 
-/* 450 gateways and 3,800 loaders in six regions: some of the loaders, as each has its own view. */
+/* 450 gateways and 3,800 loaders in six regions. A sample of the loaders is checked, as each needs
+ * a membership view of its own. */
 static void a_loader_of_a_large_fleet_reports_to_few_gateways(void **state)
 {
     const struct fleet fleet = {450, 3800, 6};
-    uint32_t told = 0, loaders = 0;
+    uint32_t receivers = 0, loaders = 0;
     for (uint32_t i = 0; i < fleet.loaders; i += 199, loaders++) {
-        struct membership *membership = seen_by(&fleet, fleet.gateways + i);
+        struct membership *membership = membership_of(&fleet, fleet.gateways + i);
         struct load_targets targets = {0};
         load_targets_refresh(&targets, membership);
         assert_true(targets.near_count + targets.far_count < 20);
-        told += targets.near_count + targets.far_count;
+        receivers += targets.near_count + targets.far_count;
         load_targets_clear(&targets);
         membership_destroy(membership);
     }
-    assert_in_range(told / loaders, 3, 8); /* 75 x 32 / 633 near, 375 x 10 / 3,167 far */
+    assert_in_range(receivers / loaders, 3, 8); /* 75 x 32 / 633 near, 375 x 10 / 3,167 far */
 }
 
 static void dead_gateways_receive_no_load(void **state)
 {
     const struct fleet fleet = {6, 12, 3};
-    struct membership *membership = seen_by(&fleet, 6);
+    struct membership *membership = membership_of(&fleet, 6);
     struct load_targets targets = {0};
     load_targets_refresh(&targets, membership);
     assert_int_equal(targets.near_count, 2);
-    hear(membership, &fleet, 0, MEMBER_DEAD); /* of region 0, as the loader */
+    learn_member(membership, &fleet, 0, MEMBER_DEAD); /* in region 0 like the loader */
     load_targets_refresh(&targets, membership);
     assert_int_equal(targets.near_count, 1);
     assert_int_equal(targets.addresses[0], 4);
