--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -1,4 +1,4 @@
-/* Which back end gets a request, and which gets none. */
+/* Choice of a backend for a request: eligibility, room, grace periods, ejection and load shares. */
 #include "testing.h"
 
 #include "core/backend_pool.h"
@@ -10,9 +10,9 @@
 
 static const struct backend_pool_settings settings = {.queue_per_engine = 3,
                                                       .tokens_per_engine = 4500,
-                                                      .load_fresh_us = SECOND_US,
-                                                      .near_fresh_us = SECOND_US,
-                                                      .unlisted_us = 2 * SECOND_US};
+                                                      .max_load_age_us = SECOND_US,
+                                                      .max_near_load_age_us = SECOND_US,
+                                                      .unlisted_grace_us = 2 * SECOND_US};
 
 static struct backend_listing listing_of(int number, uint64_t version)
 {
@@ -30,21 +30,21 @@
     return backend_pool_list(pool, &listing, distance);
 }
 
-static struct backend_wish wish_of(void)
+static struct backend_criteria criteria_of(void)
 {
-    return (struct backend_wish){.service = "llm",
-                                 .engine = true,
-                                 .tokens = 1000,
-                                 .usual_tokens = 1000,
-                                 .read_tokens_per_ms = 32,
-                                 .gateways = 1};
+    return (struct backend_criteria){.service = "llm",
+                                     .engine = true,
+                                     .tokens = 1000,
+                                     .mean_prompt_tokens = 1000,
+                                     .prefill_tokens_per_ms = 32,
+                                     .gateways = 1};
 }
 
-static struct backend *choose(struct backend_pool *pool, const struct backend_wish *wish,
+static struct backend *choose(struct backend_pool *pool, const struct backend_criteria *criteria,
                               uint64_t now)
 {
     struct backend *chosen;
-    return backend_pool_choose(pool, wish, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
+    return backend_pool_choose(pool, criteria, now, &chosen) == BACKEND_FOUND ? chosen : NULL;
 }
 
 static void report(struct backend_pool *pool, int number, struct backend_load load, uint64_t now)
@@ -56,140 +56,142 @@
 
 static void unlist(struct backend_pool *pool, bool from_outage, uint64_t now)
 {
-    struct backend_drop drop = {.learned = now, .from_outage = from_outage};
+    struct backend_unlisting drop = {.learned = now, .from_outage = from_outage};
     backend_pool_unlist(pool, "i-1", &drop, now);
 }
 
-static void draining_and_empty_engines_get_nothing(void **state)
+static void draining_and_empty_engines_are_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
-    struct backend_listing leaving = listing_of(1, 1);
-    leaving.draining = true;
-    backend_pool_list(pool, &leaving, 0);
+    struct backend_criteria criteria = criteria_of();
+    struct backend_listing draining = listing_of(1, 1);
+    draining.draining = true;
+    backend_pool_list(pool, &draining, 0);
     add(pool, 2, 0, 0);
-    assert_null(choose(pool, &wish, 1));
-    struct backend *sound = add(pool, 3, 1, 0);
+    assert_null(choose(pool, &criteria, 1));
+    struct backend *usable = add(pool, 3, 1, 0);
     for (uint64_t now = 1; now < 50; now++)
-        assert_ptr_equal(choose(pool, &wish, now), sound);
+        assert_ptr_equal(choose(pool, &criteria, now), usable);
     backend_pool_destroy(pool);
 }
 
-static void a_dropped_entry_lasts_until_its_time(void **state)
+static void an_unlisted_backend_stays_usable_for_its_grace_period(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
     unlist(pool, false, 8 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 9 * SECOND_US));
-    assert_null(choose(pool, &wish, 10 * SECOND_US));
-    backend_pool_settle(pool, true, 10 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 9 * SECOND_US));
+    assert_null(choose(pool, &criteria, 10 * SECOND_US));
+    backend_pool_expire(pool, true, 10 * SECOND_US);
     assert_int_equal(backend_pool_count(pool), 0);
     backend_pool_destroy(pool);
 }
 
-static void what_a_failing_list_drops_is_doubted(void **state)
+static void entries_lost_in_a_store_outage_stay_until_the_store_recovers(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US);
+    backend_pool_expire(pool, false, 8 * SECOND_US);
     unlist(pool, true, 8 * SECOND_US);
-    backend_pool_settle(pool, false, 9 * SECOND_US);
-    backend_pool_settle(pool, false, 11 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 12 * SECOND_US));
-    /* It comes back and lists itself again, or it is dropped after all. */
-    backend_pool_settle(pool, true, 13 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 14 * SECOND_US));
-    backend_pool_settle(pool, true, 16 * SECOND_US);
-    assert_null(choose(pool, &wish, 16 * SECOND_US));
+    backend_pool_expire(pool, false, 9 * SECOND_US);
+    backend_pool_expire(pool, false, 11 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 12 * SECOND_US));
+    /* After the store's recovery it has time to list itself again; then it is removed. */
+    backend_pool_expire(pool, true, 13 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 14 * SECOND_US));
+    backend_pool_expire(pool, true, 16 * SECOND_US);
+    assert_null(choose(pool, &criteria, 16 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void what_was_lost_meanwhile_is_told_when_the_list_is_back(void **state)
+static void an_entry_lost_in_an_outage_gets_the_relist_grace_period(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US);
-    backend_pool_settle(pool, true, 9 * SECOND_US);
+    backend_pool_expire(pool, false, 8 * SECOND_US);
+    backend_pool_expire(pool, true, 9 * SECOND_US);
     unlist(pool, true, 9 * SECOND_US + SECOND_US / 5);
-    assert_non_null(choose(pool, &wish, 11 * SECOND_US));
-    assert_null(choose(pool, &wish, 12 * SECOND_US));
+    assert_non_null(choose(pool, &criteria, 11 * SECOND_US));
+    assert_null(choose(pool, &criteria, 12 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
-/* A gateway that begins to read the store counts as one without answers until its first watch ends:
- * an entry that had gone before gets no new time from that. */
-static void what_a_sound_list_dropped_stays_dropped_when_it_fails(void **state)
+/* Until a new gateway's first watch of the store returns, the store counts as failing for it. That
+ * must not prolong the grace period of an entry that was unlisted before. */
+static void a_later_outage_does_not_extend_an_ordinary_unlisting(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, true, 8 * SECOND_US);
+    backend_pool_expire(pool, true, 8 * SECOND_US);
     unlist(pool, false, 8 * SECOND_US);
-    backend_pool_settle(pool, false, 9 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 9 * SECOND_US));
-    backend_pool_settle(pool, false, 10 * SECOND_US);
-    assert_null(choose(pool, &wish, 10 * SECOND_US));
+    backend_pool_expire(pool, false, 9 * SECOND_US);
+    assert_non_null(choose(pool, &criteria, 9 * SECOND_US));
+    backend_pool_expire(pool, false, 10 * SECOND_US);
+    assert_null(choose(pool, &criteria, 10 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
-/* After a loss of power the keeper is first heard of some tenths of a second after the start. */
-static void a_keeper_not_heard_of_yet_has_not_failed(void **state)
+/* After a power failure the store first answers some tenths of a second after the gateway starts.
+ */
+static void a_store_that_answers_soon_after_the_start_has_not_failed(void **state)
 {
-    struct backend_pool_settings begun = settings;
-    begun.created = 8 * SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&begun, 1);
+    struct backend_pool_settings started = settings;
+    started.created = 8 * SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 8 * SECOND_US + 100000);
-    backend_pool_settle(pool, true, 8 * SECOND_US + 400000);
+    backend_pool_expire(pool, false, 8 * SECOND_US + 100000);
+    backend_pool_expire(pool, true, 8 * SECOND_US + 400000);
     unlist(pool, false, 8 * SECOND_US + 600000);
-    backend_pool_settle(pool, true, 10 * SECOND_US + 600000);
+    backend_pool_expire(pool, true, 10 * SECOND_US + 600000);
     assert_int_equal(backend_pool_count(pool), 0);
     backend_pool_destroy(pool);
 }
 
-/* Who began while the keeper was away doubts what it drops when it is back. */
-static void a_keeper_not_heard_of_for_long_has_failed(void **state)
+/* A gateway that started during a store outage does not trust the entries that are missing after
+ * it. */
+static void an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period(void **state)
 {
-    struct backend_pool_settings begun = settings;
-    begun.created = 8 * SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&begun, 1);
+    struct backend_pool_settings started = settings;
+    started.created = 8 * SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
     add(pool, 1, 1, 0);
-    backend_pool_settle(pool, false, 14 * SECOND_US);
-    backend_pool_settle(pool, true, 15 * SECOND_US);
+    backend_pool_expire(pool, false, 14 * SECOND_US);
+    backend_pool_expire(pool, true, 15 * SECOND_US);
     unlist(pool, true, 15 * SECOND_US + 100000);
-    backend_pool_settle(pool, true, 16 * SECOND_US);
+    backend_pool_expire(pool, true, 16 * SECOND_US);
     assert_int_equal(backend_pool_count(pool), 1);
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_is_as_silent_is_no_other(void **state)
+static void heard_after_rules_out_engines_that_are_silent_since(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_load load = {.version = 1};
     struct backend *silent = add(pool, 1, 1, 0);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
-    wish.heard_after = SECOND_US;
-    assert_null(choose(pool, &wish, SECOND_US + 1));
-    assert_false(backend_pool_has_room(pool, &wish, SECOND_US + 1));
+    criteria.heard_after = SECOND_US;
+    assert_null(choose(pool, &criteria, SECOND_US + 1));
+    assert_false(backend_pool_has_room(pool, &criteria, SECOND_US + 1));
     silent->last_answer_at = SECOND_US + 1;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US + 2), silent);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US + 2), silent);
     backend_pool_report(pool, "10.0.0.1:80", &load, 2 * SECOND_US);
-    wish.heard_after = 2 * SECOND_US - 1;
-    assert_true(backend_pool_has_room(pool, &wish, 2 * SECOND_US));
+    criteria.heard_after = 2 * SECOND_US - 1;
+    assert_true(backend_pool_has_room(pool, &criteria, 2 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static bool is_used(struct backend_pool *pool)
+static bool is_eligible(struct backend_pool *pool)
 {
-    struct backend_wish wish = wish_of();
-    return choose(pool, &wish, SECOND_US) != NULL;
+    struct backend_criteria criteria = criteria_of();
+    return choose(pool, &criteria, SECOND_US) != NULL;
 }
 
-static void take_entry(struct backend_pool *pool, uint64_t born, uint64_t sequence, bool draining)
+static void apply_entry(struct backend_pool *pool, uint64_t born, uint64_t sequence, bool draining)
 {
     struct backend_listing listing = listing_of(1, 1);
     listing.born = born;
@@ -198,75 +200,75 @@
     backend_pool_list(pool, &listing, 0);
 }
 
-static void an_entry_that_is_written_late_changes_nothing(void **state)
+static void an_entry_with_a_lower_sequence_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    take_entry(pool, 1000, 8, false);
-    assert_true(is_used(pool));
-    take_entry(pool, 1000, 9, true);
-    take_entry(pool, 1000, 7, false);
-    assert_false(is_used(pool));
+    apply_entry(pool, 1000, 8, false);
+    assert_true(is_eligible(pool));
+    apply_entry(pool, 1000, 9, true);
+    apply_entry(pool, 1000, 7, false);
+    assert_false(is_eligible(pool));
     assert_int_equal(backend_pool_at(pool, 0)->listing.sequence, 9);
     backend_pool_destroy(pool);
 }
 
-static void that_a_start_leaves_is_final(void **state)
+static void draining_is_final_for_a_start(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_drop drop = {SECOND_US, false};
-    take_entry(pool, 1000, 8, true);
-    take_entry(pool, 1000, 9, false);
-    assert_false(is_used(pool));
-    /* Also when its entry had gone meanwhile. */
+    struct backend_unlisting drop = {SECOND_US, false};
+    apply_entry(pool, 1000, 8, true);
+    apply_entry(pool, 1000, 9, false);
+    assert_false(is_eligible(pool));
+    /* Also if its entry was removed in between. */
     backend_pool_unlist(pool, "i-1", &drop, SECOND_US);
-    take_entry(pool, 1000, 10, false);
-    assert_false(is_used(pool));
-    take_entry(pool, 2000, 1, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 1000, 10, false);
+    assert_false(is_eligible(pool));
+    apply_entry(pool, 2000, 1, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
-static void a_later_start_is_not_bound_by_what_the_list_said_before(void **state)
+static void draining_of_an_earlier_start_does_not_bind_a_later_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_load load = {.born = 2000, .version = 1};
-    take_entry(pool, 1000, 8, true);
+    apply_entry(pool, 1000, 8, true);
     backend_pool_report(pool, "10.0.0.1:80", &load, SECOND_US);
-    take_entry(pool, 2000, 1, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 2000, 1, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
-static void without_dates_a_lower_sequence_may_be_of_the_next_start(void **state)
+static void without_start_times_a_lower_sequence_is_applied(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing empty = listing_of(1, 0);
-    take_entry(pool, 0, 8, false);
+    apply_entry(pool, 0, 8, false);
     empty.has_weights = false;
     empty.sequence = 1;
     backend_pool_list(pool, &empty, 0);
-    assert_false(is_used(pool));
+    assert_false(is_eligible(pool));
     assert_int_equal(backend_pool_at(pool, 0)->listing.sequence, 1);
     backend_pool_destroy(pool);
 }
 
-static void without_dates_the_order_of_entries_decides(void **state)
+static void without_start_times_a_later_entry_revokes_draining(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    take_entry(pool, 0, 8, true);
-    take_entry(pool, 0, 7, false);
-    assert_false(is_used(pool));
-    /* One that is known to have ended says nothing any more: this is the next start. */
-    backend_pool_ended(pool, backend_pool_at(pool, 0), SECOND_US);
-    take_entry(pool, 0, 1, false);
-    assert_true(is_used(pool));
-    take_entry(pool, 0, 2, true);
-    take_entry(pool, 0, 3, false);
-    assert_true(is_used(pool));
+    apply_entry(pool, 0, 8, true);
+    apply_entry(pool, 0, 7, false);
+    assert_false(is_eligible(pool));
+    /* After the backend was presumed down, the next entry is of a new start. */
+    backend_pool_mark_down(pool, backend_pool_at(pool, 0), SECOND_US);
+    apply_entry(pool, 0, 1, false);
+    assert_true(is_eligible(pool));
+    apply_entry(pool, 0, 2, true);
+    apply_entry(pool, 0, 3, false);
+    assert_true(is_eligible(pool));
     backend_pool_destroy(pool);
 }
 
-static void an_address_belongs_to_its_newest_start(void **state)
+static void a_new_entry_replaces_the_backend_at_its_address(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing again = listing_of(1, 1);
@@ -278,127 +280,129 @@
     backend_pool_destroy(pool);
 }
 
-static void old_versions_get_nothing_in_time(void **state)
+static void engines_below_the_required_versions_are_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
-    wish.next_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US)); /* soon required, and not at hand there */
+    criteria.next_min_version = 2;
+    /* Version 2 is required soon, and the engine has not downloaded it. */
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .staged = true}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    wish.least_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    criteria.min_version = 2;
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    wish.exact_version = 1;
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    criteria.required_version = 1;
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void an_engine_on_a_slow_link_gets_no_old_version_late(void **state)
+static void an_engine_that_may_be_late_needs_the_later_version(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
-    wish.later_version = 2;
+    criteria.later_min_version = 2;
     report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
-    backend_begin(backend, 1000, SECOND_US);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    /* Without a prompt answer a moment ago nobody knows. */
-    assert_null(choose(pool, &wish, 3 * SECOND_US));
+    backend_request_started(backend, 1000, SECOND_US);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    /* Without a recent answer the engine may be late. */
+    assert_null(choose(pool, &criteria, 3 * SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .link_slow = true}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2, .link_slow = true}, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_stays_silent_gets_nothing_more(void **state)
+static void a_stalled_engine_gets_no_requests_until_it_answers(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
-    backend_begin(backend, 100, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US + 600000));
-    assert_null(choose(pool, &wish, SECOND_US + 800000));
-    backend_answers(backend, 100, 800000, SECOND_US + 800000);
-    assert_non_null(choose(pool, &wish, SECOND_US + 900000));
-    /* It was late: near the bound it gets nothing on the old version. */
-    backend_end(pool, backend, BACKEND_SUCCEEDED, 800000, SECOND_US + 900000);
-    wish.later_version = 2;
-    assert_null(choose(pool, &wish, SECOND_US + 900000));
+    backend_request_started(backend, 100, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US + 600000));
+    assert_null(choose(pool, &criteria, SECOND_US + 800000));
+    backend_request_answered(backend, 100, 800000, SECOND_US + 800000);
+    assert_non_null(choose(pool, &criteria, SECOND_US + 900000));
+    /* The last answer was late, so the engine needs the later version already. */
+    backend_request_ended(pool, backend, BACKEND_SUCCEEDED, 800000, SECOND_US + 900000);
+    criteria.later_min_version = 2;
+    assert_null(choose(pool, &criteria, SECOND_US + 900000));
     backend_pool_destroy(pool);
 }
 
-static void an_engine_that_loads_gets_nothing(void **state)
+static void a_loading_engine_is_not_eligible(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void streams_broken_off_for_new_weights_are_no_fault(void **state)
+static void streams_aborted_to_load_weights_are_not_failures(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
     for (uint32_t i = 0; i < 8; i++) {
-        backend_begin(backend, 1000, SECOND_US);
-        assert_false(backend_end(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 1));
+        backend_request_started(backend, 1000, SECOND_US);
+        assert_false(backend_request_ended(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 1));
     }
-    assert_true(backend->failure_share == 0);
+    assert_true(backend->failure_rate == 0);
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US + 2);
-    backend_begin(backend, 1000, SECOND_US + 2);
-    backend_end(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 3);
-    assert_true(backend->failure_share > 0);
+    backend_request_started(backend, 1000, SECOND_US + 2);
+    backend_request_ended(pool, backend, BACKEND_BROKEN, 0, SECOND_US + 3);
+    assert_true(backend->failure_rate > 0);
     backend_pool_destroy(pool);
 }
 
-static void a_long_stream_goes_where_no_turn_comes_before_its_end(void **state)
+static void a_long_request_avoids_an_engine_that_will_switch_weights(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
-    struct backend *turning = add(pool, 1, 1, 0);
+    struct backend_criteria criteria = criteria_of();
+    struct backend *switching = add(pool, 1, 1, 0);
     struct backend *other = add(pool, 2, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 800}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 1, .running = 15}, SECOND_US);
-    wish.expected_us = 500000;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), turning);
-    wish.expected_us = 900000;
+    criteria.expected_us = 500000;
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), switching);
+    criteria.expected_us = 900000;
     for (int i = 0; i < 20; i++)
-        assert_ptr_equal(choose(pool, &wish, SECOND_US), other);
+        assert_ptr_equal(choose(pool, &criteria, SECOND_US), other);
     backend_pool_destroy(pool);
 }
 
-static void a_long_stream_goes_to_an_engine_near_its_turn_when_there_is_no_other(void **state)
+static void a_long_request_goes_to_a_switching_engine_if_there_is_no_other(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
-    struct backend *turning = add(pool, 1, 1, 0);
+    struct backend_criteria criteria = criteria_of();
+    struct backend *switching = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .turn_ms = 100}, SECOND_US);
-    wish.expected_us = 900000;
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), turning);
+    criteria.expected_us = 900000;
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), switching);
     backend_pool_destroy(pool);
 }
 
-static void a_begun_stream_has_somebody_while_an_engine_of_its_version_may_take_it(void **state)
+static void an_excluded_engine_of_the_required_version_may_serve_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
-    wish.exact_version = 1;
-    wish.excluded[wish.excluded_count++] = add(pool, 1, 1, 0);
+    struct backend_criteria criteria = criteria_of();
+    criteria.required_version = 1;
+    criteria.excluded[criteria.excluded_count++] = add(pool, 1, 1, 0);
     add(pool, 2, 2, 0);
     report(pool, 1, (struct backend_load){.version = 1, .running = 19}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 2}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
-    assert_true(backend_pool_may_serve(pool, &wish, SECOND_US)); /* it was tried; it may be again */
+    assert_null(choose(pool, &criteria, SECOND_US));
+    /* It was tried before, and may be again. */
+    assert_true(backend_pool_may_serve(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 1, .loading = true}, SECOND_US);
-    assert_false(backend_pool_may_serve(pool, &wish, SECOND_US));
+    assert_false(backend_pool_may_serve(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
@@ -409,27 +413,27 @@
     return listing;
 }
 
-static void an_id_that_starts_again_begins_anew(void **state)
+static void a_restart_under_the_same_id_resets_the_health(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing first = start_of(1000), second = start_of(2000);
     struct backend *before = backend_pool_list(pool, &first, 0);
     for (int i = 0; i < 4; i++) {
-        backend_begin(before, 1000, SECOND_US);
-        backend_end(pool, before, BACKEND_BROKEN, 0, SECOND_US);
+        backend_request_started(before, 1000, SECOND_US);
+        backend_request_ended(pool, before, BACKEND_BROKEN, 0, SECOND_US);
     }
     first.draining = true;
     backend_pool_list(pool, &first, 0);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     struct backend *after = backend_pool_list(pool, &second, 0);
     assert_int_equal(after->failures, 0);
     assert_int_equal(after->in_flight, 0);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), after);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), after);
     backend_pool_destroy(pool);
 }
 
-static void a_report_of_an_earlier_start_is_left_out(void **state)
+static void a_report_of_an_earlier_start_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing listing = start_of(2000);
@@ -441,84 +445,84 @@
     backend_pool_destroy(pool);
 }
 
-static void a_report_may_tell_of_a_start_before_the_list_does(void **state)
+static void a_report_of_a_later_start_replaces_the_listed_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend *before = backend_pool_list(pool, &listing, 0);
     struct backend_load empty = {.born = 2000}, late = {.version = 1, .born = 1000};
-    backend_begin(before, 1000, SECOND_US);
+    backend_request_started(before, 1000, SECOND_US);
     struct backend *after = backend_pool_report(pool, listing.address, &empty, SECOND_US);
     assert_int_equal(after->in_flight, 0);
-    assert_null(choose(pool, &wish, SECOND_US)); /* it holds no weights */
+    assert_null(choose(pool, &criteria, SECOND_US)); /* it has no weights */
     listing.born = 2000;
     assert_ptr_equal(backend_pool_list(pool, &listing, 0), after);
     assert_null(backend_pool_report(pool, listing.address, &late, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-/* Its clock was set back between two starts: the list's last word decides. */
-/* The list dropped it before; a start that only its loader knows of is not listed by that. */
-static void a_dropped_back_end_is_not_listed_by_a_report(void **state)
+/* A start that only its loader knows of, after the list dropped the backend, gets no new listing.
+ */
+static void a_report_does_not_list_an_unlisted_backend_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
     unlist(pool, false, SECOND_US);
     report(pool, 1, later, 2 * SECOND_US);
-    assert_non_null(choose(pool, &wish, 2 * SECOND_US));
+    assert_non_null(choose(pool, &criteria, 2 * SECOND_US));
     report(pool, 1, later, 4 * SECOND_US);
-    assert_null(choose(pool, &wish, 4 * SECOND_US));
+    assert_null(choose(pool, &criteria, 4 * SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void an_ended_back_end_gets_nothing_until_it_shows_again(void **state)
+static void a_backend_presumed_down_gets_no_requests_until_it_reports(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing listing = start_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     struct backend *backend = backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
-    backend_pool_ended(pool, backend, 2);
+    backend_pool_mark_down(pool, backend, 2);
     struct backend *chosen;
-    assert_int_equal(backend_pool_choose(pool, &wish, 3, &chosen), BACKEND_NONE);
-    assert_true(backend_pool_may_serve(pool, &wish, 3)); /* it comes back */
+    assert_int_equal(backend_pool_choose(pool, &criteria, 3, &chosen), BACKEND_NONE);
+    assert_true(backend_pool_may_serve(pool, &criteria, 3)); /* it may restart */
     report(pool, 1, later, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    /* The end was believed by mistake: nothing new is heard. */
-    backend = choose(pool, &wish, SECOND_US);
-    backend_pool_ended(pool, backend, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
-    assert_non_null(choose(pool, &wish, SECOND_US + BACKEND_ENDED_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    /* It was presumed down by mistake, and no report follows. */
+    backend = choose(pool, &criteria, SECOND_US);
+    backend_pool_mark_down(pool, backend, SECOND_US);
+    assert_null(choose(pool, &criteria, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US + BACKEND_DOWN_US));
     backend_pool_destroy(pool);
 }
 
-/* A begun stream waits for an engine that started again, empty, and gets its version. */
-static void an_empty_engine_may_serve_what_it_is_to_hold(void **state)
+/* A stream waits for a restarted, empty engine that is about to load the stream's version. */
+static void an_empty_engine_may_serve_the_version_it_is_about_to_load(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 0, 0);
-    wish.exact_version = 2;
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
-    wish.coming_version = 3;
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
-    wish.coming_version = 2;
-    assert_true(backend_pool_may_serve(pool, &wish, 1));
-    wish.least_version = 3; /* nobody may begin it any more */
-    assert_false(backend_pool_may_serve(pool, &wish, 1));
+    criteria.required_version = 2;
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.coming_version = 3;
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.coming_version = 2;
+    assert_true(backend_pool_may_serve(pool, &criteria, 1));
+    criteria.min_version = 3; /* no request may start on version 2 any more */
+    assert_false(backend_pool_may_serve(pool, &criteria, 1));
     backend_pool_destroy(pool);
 }
 
-static void a_rank_key_takes_same_requests_to_one_back_end(void **state)
+static void a_rank_key_selects_the_same_backend_in_all_gateways(void **state)
 {
     struct backend_pool *pools[2];
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     uint32_t same = 0;
     for (uint32_t i = 0; i < 2; i++) {
         pools[i] = backend_pool_create(&settings, i + 1);
@@ -527,8 +531,9 @@
         for (int number = 1; number <= 12; number++)
             report(pools[i], number, (struct backend_load){.version = 1}, 1);
     }
-    for (wish.rank_key = 1; wish.rank_key <= 100; wish.rank_key++) {
-        struct backend *first = choose(pools[0], &wish, 2), *second = choose(pools[1], &wish, 2);
+    for (criteria.rank_key = 1; criteria.rank_key <= 100; criteria.rank_key++) {
+        struct backend *first = choose(pools[0], &criteria, 2),
+                       *second = choose(pools[1], &criteria, 2);
         assert_string_equal(first->listing.id, second->listing.id);
         same += strcmp(first->listing.id, "i-1") == 0;
     }
@@ -537,7 +542,8 @@
         backend_pool_destroy(pools[i]);
 }
 
-static void a_start_that_seems_older_is_believed_when_the_list_says_so(void **state)
+/* The backend's clock was set back between two starts: the last entry of the list decides. */
+static void a_listed_start_is_current_even_if_its_clock_was_set_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_listing first = start_of(2000), second = start_of(1500);
@@ -550,29 +556,31 @@
     backend_pool_destroy(pool);
 }
 
-static void an_entry_that_alone_does_not_date_its_start_is_not_used(void **state)
+static void an_entry_without_start_time_is_not_trusted_among_dated_ones(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing dated = start_of(1000);
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), undated); /* nobody does on this platform */
+    /* No entry has a start time yet. */
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), undated);
     struct backend *first = backend_pool_list(pool, &dated, 0);
     struct backend_listing other = listing_of(3, 1);
     other.born = 1000;
     backend_pool_list(pool, &other, 0);
     for (int i = 0; i < 20; i++)
-        assert_ptr_not_equal(choose(pool, &wish, SECOND_US), undated);
-    assert_true(backend_may_begin(pool, first, &wish, SECOND_US));
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
+        assert_ptr_not_equal(choose(pool, &criteria, SECOND_US), undated);
+    assert_true(backend_may_start_request(pool, first, &criteria, SECOND_US));
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-/* One of two back ends of the service is away: what those of other services say counts then. */
-static void an_undated_entry_is_not_used_beside_one_dated_of_a_small_service(void **state)
+/* One of two backends of the service is gone, so the service has no majority of its own: the
+ * entries of all services decide. */
+static void an_undated_entry_of_a_small_service_is_judged_by_all_entries(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend_listing dated = start_of(1000);
     for (int number = 5; number <= 7; number++) {
         struct backend_listing other = listing_of(number, 1);
@@ -581,188 +589,192 @@
         backend_pool_list(pool, &other, 0);
     }
     struct backend *undated = add(pool, 2, 1, 0);
-    assert_true(backend_may_begin(pool, undated, &wish, SECOND_US)); /* its service may not date */
+    /* Its service may give no start times. */
+    assert_true(backend_may_start_request(pool, undated, &criteria, SECOND_US));
     backend_pool_list(pool, &dated, 0);
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
-    /* Both dated ones of a service had left, and a request went to where a bad entry led. */
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
+    /* Guards against a request that followed a bad entry after both backends with a start time had
+     * left the service. */
     dated.draining = true;
     backend_pool_list(pool, &dated, 0);
     unlist(pool, false, SECOND_US);
-    assert_false(backend_may_begin(pool, undated, &wish, SECOND_US));
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_false(backend_may_start_request(pool, undated, &criteria, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void prompts_at_one_engine_are_bounded(void **state)
+static void pending_prompt_tokens_of_an_engine_are_bounded(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *backend = add(pool, 1, 1, 0);
     report(pool, 1, (struct backend_load){.version = 1, .running = 2}, SECOND_US);
     for (uint32_t i = 0; i < 4; i++) {
-        assert_non_null(choose(pool, &wish, SECOND_US));
-        backend_begin(backend, 1000, SECOND_US);
+        assert_non_null(choose(pool, &criteria, SECOND_US));
+        backend_request_started(backend, 1000, SECOND_US);
     }
     struct backend *chosen;
-    assert_int_equal(backend_pool_choose(pool, &wish, SECOND_US, &chosen), BACKEND_FULL);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
-    /* A prompt above the bound goes to an engine that reads nothing else. */
-    wish.tokens = 9000;
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_int_equal(backend_pool_choose(pool, &criteria, SECOND_US, &chosen), BACKEND_FULL);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
+    /* A prompt above the bound goes only to an engine without other pending prompts. */
+    criteria.tokens = 9000;
+    assert_null(choose(pool, &criteria, SECOND_US));
     for (uint32_t i = 0; i < 3; i++)
-        backend_answers(backend, 1000, 100000, SECOND_US);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+        backend_request_answered(backend, 1000, 100000, SECOND_US);
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void engines_near_go_first_until_they_hold_more(void **state)
+static void near_engines_are_preferred_until_they_are_busier(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *near = add(pool, 1, 1, 0);
     struct backend *far = add(pool, 2, 1, 2);
     report(pool, 1, (struct backend_load){.version = 1, .running = 3}, SECOND_US);
     report(pool, 2, (struct backend_load){.version = 1, .running = 3}, SECOND_US);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), near);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), near);
     report(pool, 1, (struct backend_load){.version = 1, .running = 9, .waiting = 2}, SECOND_US);
-    assert_ptr_equal(choose(pool, &wish, SECOND_US), far);
+    assert_ptr_equal(choose(pool, &criteria, SECOND_US), far);
     backend_pool_destroy(pool);
 }
 
-static void a_failing_back_end_is_ejected_and_probed(void **state)
+static void a_failing_backend_is_ejected_and_probed(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     struct backend *bad = add(pool, 1, 1, 0);
     struct backend *good = add(pool, 2, 1, 0);
     uint64_t now = SECOND_US;
     for (int i = 0; i < 2; i++) {
-        backend_begin(bad, 1000, SECOND_US);
-        backend_answers(bad, 1000, 100000, SECOND_US);
-        backend_end(pool, bad, BACKEND_BROKEN, 0, now);
+        backend_request_started(bad, 1000, SECOND_US);
+        backend_request_answered(bad, 1000, 100000, SECOND_US);
+        backend_request_ended(pool, bad, BACKEND_BROKEN, 0, now);
     }
     for (int i = 0; i < 50; i++)
-        assert_ptr_equal(choose(pool, &wish, now), good);
+        assert_ptr_equal(choose(pool, &criteria, now), good);
     now += SECOND_US;
-    assert_ptr_equal(choose(pool, &wish, now), bad); /* one request finds out */
-    backend_begin(bad, 1000, SECOND_US);
+    assert_ptr_equal(choose(pool, &criteria, now), bad); /* the probe */
+    backend_request_started(bad, 1000, SECOND_US);
     for (int i = 0; i < 50; i++)
-        assert_ptr_equal(choose(pool, &wish, now), good);
-    backend_answers(bad, 1000, 100000, SECOND_US);
-    backend_end(pool, bad, BACKEND_SUCCEEDED, 1000, now);
+        assert_ptr_equal(choose(pool, &criteria, now), good);
+    backend_request_answered(bad, 1000, 100000, SECOND_US);
+    backend_request_ended(pool, bad, BACKEND_SUCCEEDED, 1000, now);
     assert_int_equal(bad->ejected_until, 0);
     backend_pool_destroy(pool);
 }
 
-static void a_released_back_end_outlives_its_listing(void **state)
+static void a_retained_backend_outlives_its_listing(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = backend_retain(add(pool, 1, 1, 0));
-    backend_begin(backend, 1000, SECOND_US);
-    backend_pool_replaced(pool, backend);
+    backend_request_started(backend, 1000, SECOND_US);
+    backend_pool_remove(pool, backend);
     assert_false(backend->listed);
-    backend_answers(backend, 1000, 100000, SECOND_US);
-    backend_end(pool, backend, BACKEND_CANCELLED, 0, 2);
+    backend_request_answered(backend, 1000, 100000, SECOND_US);
+    backend_request_ended(pool, backend, BACKEND_CANCELLED, 0, 2);
     backend_release(backend);
     backend_pool_destroy(pool);
 }
 
-/* Every gateway sees the same report: together they must not send much more than there is room. */
-static void many_gateways_do_not_overfill_an_engine(void **state)
+/* All gateways see the same report. Together they must not send much more than the free slots. */
+static void many_gateways_together_do_not_overload_an_engine(void **state)
 {
     const uint32_t gateways = 34;
     uint32_t begun = 0;
     for (uint32_t gateway = 0; gateway < gateways; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         struct backend *backend;
-        wish.gateways = gateways;
-        wish.tokens = 10;
-        wish.usual_tokens = 10;
+        criteria.gateways = gateways;
+        criteria.tokens = 10;
+        criteria.mean_prompt_tokens = 10;
         add(pool, 1, 1, 0);
         report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
-        while (begun < 1000 && (backend = choose(pool, &wish, SECOND_US))) {
-            backend_begin(backend, 10, SECOND_US);
+        while (begun < 1000 && (backend = choose(pool, &criteria, SECOND_US))) {
+            backend_request_started(backend, 10, SECOND_US);
             begun++;
         }
         backend_pool_destroy(pool);
     }
-    assert_in_range(begun, 19, 42); /* 16 slots and a queue of 3, twice that at most */
+    assert_in_range(begun, 19, 42); /* 16 slots and a queue of 3, overcommitted twice at most */
 }
 
-/* \return requests that all gateways together begin at one engine after one report of it */
-static uint32_t begun_by_all(uint32_t near_gateways, uint32_t far_gateways, uint32_t *by_near)
+/* \return number of requests that all gateways together start at one engine after one report */
+static uint32_t started_by_all(uint32_t near_gateways, uint32_t far_gateways,
+                               uint32_t *started_by_near)
 {
     uint32_t begun = 0;
-    *by_near = 0;
+    *started_by_near = 0;
     for (uint32_t gateway = 0; gateway < near_gateways + far_gateways; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         bool near = gateway < near_gateways;
         struct backend_load load = {
             .version = 1, .near_gateways = near_gateways, .far_gateways = far_gateways};
-        wish.gateways = near_gateways + far_gateways;
-        wish.tokens = wish.usual_tokens = 10;
+        criteria.gateways = near_gateways + far_gateways;
+        criteria.tokens = criteria.mean_prompt_tokens = 10;
         struct backend *backend = add(pool, 1, 1, near ? 0 : 2);
         report(pool, 1, load, SECOND_US);
-        while (choose(pool, &wish, SECOND_US)) {
-            backend_begin(backend, 10, SECOND_US);
+        while (choose(pool, &criteria, SECOND_US)) {
+            backend_request_started(backend, 10, SECOND_US);
             begun++;
-            *by_near += near;
+            *started_by_near += near;
         }
         backend_pool_destroy(pool);
     }
     return begun;
 }
 
-/* Of 149 gateways 30 are in the engine's region: its places are theirs first. */
-static void gateways_of_the_own_region_get_most_places(void **state)
+/* 30 of 149 gateways are in the engine's region, and get most of its slots. */
+static void gateways_of_the_own_region_get_most_slots(void **state)
 {
-    uint32_t by_near;
-    uint32_t begun = begun_by_all(30, 119, &by_near);
-    assert_in_range(begun, 19, 46); /* 16 slots and a queue of 3, some two times that at most */
-    assert_in_range(by_near, 19, 38);
-    begun = begun_by_all(2, 4, &by_near);
+    uint32_t started_by_near;
+    uint32_t begun = started_by_all(30, 119, &started_by_near);
+    assert_in_range(begun, 19, 46); /* 16 slots and a queue of 3, about twice that at most */
+    assert_in_range(started_by_near, 19, 38);
+    begun = started_by_all(2, 4, &started_by_near);
     assert_in_range(begun, 19, 46);
-    begun = begun_by_all(30, 0, &by_near);
+    begun = started_by_all(30, 0, &started_by_near);
     assert_in_range(begun, 19, 46);
 }
 
-/* Frozen machines report nothing: at 149 gateways each of them sent a request to every such engine,
- * as it looked idle. */
-static void an_engine_that_no_longer_reports_is_not_taken_for_idle(void **state)
+/* Guards against a failure with 149 gateways: frozen machines send no reports, and each gateway
+ * sent a request to every such engine, as it looked idle. */
+static void an_engine_without_recent_reports_is_not_taken_for_idle(void **state)
 {
-    uint32_t sent_to_silent = 0;
+    uint32_t sent_without_report = 0;
     for (uint32_t gateway = 0; gateway < 149; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
-        wish.gateways = 149;
+        struct backend_criteria criteria = criteria_of();
+        criteria.gateways = 149;
         struct backend *silent = add(pool, 1, 1, 0);
         add(pool, 2, 1, 0);
         report(pool, 1, (struct backend_load){.version = 1}, SECOND_US);
         report(pool, 2, (struct backend_load){.version = 1, .running = 6}, 3 * SECOND_US);
-        sent_to_silent += choose(pool, &wish, 3 * SECOND_US) == silent;
+        sent_without_report += choose(pool, &criteria, 3 * SECOND_US) == silent;
         backend_pool_destroy(pool);
     }
-    assert_int_equal(sent_to_silent, 0);
+    assert_int_equal(sent_without_report, 0);
 }
 
-/* The loader may be dead and the engine alive: who had answers goes on, within its part. */
-static void an_engine_that_answers_goes_on_without_reports(void **state)
+/* The loader may be down while the engine works: a gateway with recent answers continues within its
+ * share. */
+static void an_answering_engine_gets_requests_without_reports(void **state)
 {
     uint32_t begun = 0;
     for (uint32_t gateway = 0; gateway < 30; gateway++) {
         struct backend_pool *pool = backend_pool_create(&settings, gateway + 1);
-        struct backend_wish wish = wish_of();
+        struct backend_criteria criteria = criteria_of();
         struct backend_load load = {.version = 1, .near_gateways = 30};
         struct backend *silent = add(pool, 1, 1, 0);
         report(pool, 1, load, SECOND_US);
-        backend_begin(silent, 10, 2 * SECOND_US);
-        backend_answers(silent, 10, 100000, 2 * SECOND_US + 100000);
-        backend_end(pool, silent, BACKEND_SUCCEEDED, 100000, 2 * SECOND_US + 200000);
-        while (choose(pool, &wish, 3 * SECOND_US)) {
-            backend_begin(silent, 10, 3 * SECOND_US);
+        backend_request_started(silent, 10, 2 * SECOND_US);
+        backend_request_answered(silent, 10, 100000, 2 * SECOND_US + 100000);
+        backend_request_ended(pool, silent, BACKEND_SUCCEEDED, 100000, 2 * SECOND_US + 200000);
+        while (choose(pool, &criteria, 3 * SECOND_US)) {
+            backend_request_started(silent, 10, 3 * SECOND_US);
             begun++;
         }
         backend_pool_destroy(pool);
@@ -770,77 +782,77 @@
     assert_in_range(begun, 8, 24); /* 16 slots for all of them */
 }
 
-static void a_report_of_lost_weights_goes_before_the_list(void **state)
+static void a_report_of_lost_weights_overrides_the_list(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_criteria criteria = criteria_of();
     add(pool, 1, 2, 0);
-    assert_non_null(choose(pool, &wish, SECOND_US));
+    assert_non_null(choose(pool, &criteria, SECOND_US));
     report(pool, 1, (struct backend_load){.version = 0}, SECOND_US);
-    assert_null(choose(pool, &wish, SECOND_US));
+    assert_null(choose(pool, &criteria, SECOND_US));
     backend_pool_destroy(pool);
 }
 
-static void a_gateway_that_has_just_begun_waits_for_reports(void **state)
+static void a_new_gateway_waits_for_the_first_load_reports(void **state)
 {
-    struct backend_pool_settings young = settings;
-    young.created = SECOND_US;
-    struct backend_pool *pool = backend_pool_create(&young, 1);
-    struct backend_wish wish = wish_of();
+    struct backend_pool_settings started = settings;
+    started.created = SECOND_US;
+    struct backend_pool *pool = backend_pool_create(&started, 1);
+    struct backend_criteria criteria = criteria_of();
     struct backend *chosen;
     add(pool, 1, 2, 0);
-    assert_int_equal(backend_pool_choose(pool, &wish, SECOND_US + 1000, &chosen), BACKEND_FULL);
-    assert_non_null(choose(pool, &wish, 3 * SECOND_US));
+    assert_int_equal(backend_pool_choose(pool, &criteria, SECOND_US + 1000, &chosen), BACKEND_FULL);
+    assert_non_null(choose(pool, &criteria, 3 * SECOND_US));
     report(pool, 1, (struct backend_load){.version = 2}, SECOND_US + 2000);
-    assert_non_null(choose(pool, &wish, SECOND_US + 3000));
+    assert_non_null(choose(pool, &criteria, SECOND_US + 3000));
     backend_pool_destroy(pool);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(many_gateways_do_not_overfill_an_engine),
-        cmocka_unit_test(gateways_of_the_own_region_get_most_places),
-        cmocka_unit_test(an_engine_that_no_longer_reports_is_not_taken_for_idle),
-        cmocka_unit_test(an_engine_that_answers_goes_on_without_reports),
-        cmocka_unit_test(a_report_of_lost_weights_goes_before_the_list),
-        cmocka_unit_test(a_gateway_that_has_just_begun_waits_for_reports),
-        cmocka_unit_test(draining_and_empty_engines_get_nothing),
-        cmocka_unit_test(a_dropped_entry_lasts_until_its_time),
-        cmocka_unit_test(what_a_failing_list_drops_is_doubted),
-        cmocka_unit_test(what_was_lost_meanwhile_is_told_when_the_list_is_back),
-        cmocka_unit_test(what_a_sound_list_dropped_stays_dropped_when_it_fails),
-        cmocka_unit_test(a_keeper_not_heard_of_yet_has_not_failed),
-        cmocka_unit_test(a_keeper_not_heard_of_for_long_has_failed),
-        cmocka_unit_test(an_engine_that_is_as_silent_is_no_other),
-        cmocka_unit_test(an_entry_that_is_written_late_changes_nothing),
-        cmocka_unit_test(that_a_start_leaves_is_final),
-        cmocka_unit_test(a_later_start_is_not_bound_by_what_the_list_said_before),
-        cmocka_unit_test(without_dates_a_lower_sequence_may_be_of_the_next_start),
-        cmocka_unit_test(without_dates_the_order_of_entries_decides),
-        cmocka_unit_test(an_address_belongs_to_its_newest_start),
-        cmocka_unit_test(old_versions_get_nothing_in_time),
-        cmocka_unit_test(an_engine_on_a_slow_link_gets_no_old_version_late),
-        cmocka_unit_test(an_engine_that_stays_silent_gets_nothing_more),
-        cmocka_unit_test(an_engine_that_loads_gets_nothing),
-        cmocka_unit_test(streams_broken_off_for_new_weights_are_no_fault),
-        cmocka_unit_test(a_long_stream_goes_where_no_turn_comes_before_its_end),
-        cmocka_unit_test(a_long_stream_goes_to_an_engine_near_its_turn_when_there_is_no_other),
-        cmocka_unit_test(a_begun_stream_has_somebody_while_an_engine_of_its_version_may_take_it),
-        cmocka_unit_test(an_id_that_starts_again_begins_anew),
-        cmocka_unit_test(a_report_of_an_earlier_start_is_left_out),
-        cmocka_unit_test(a_report_may_tell_of_a_start_before_the_list_does),
-        cmocka_unit_test(a_dropped_back_end_is_not_listed_by_a_report),
-        cmocka_unit_test(an_ended_back_end_gets_nothing_until_it_shows_again),
-        cmocka_unit_test(an_empty_engine_may_serve_what_it_is_to_hold),
-        cmocka_unit_test(a_rank_key_takes_same_requests_to_one_back_end),
-        cmocka_unit_test(a_start_that_seems_older_is_believed_when_the_list_says_so),
-        cmocka_unit_test(an_entry_that_alone_does_not_date_its_start_is_not_used),
-        cmocka_unit_test(an_undated_entry_is_not_used_beside_one_dated_of_a_small_service),
-        cmocka_unit_test(prompts_at_one_engine_are_bounded),
-        cmocka_unit_test(engines_near_go_first_until_they_hold_more),
-        cmocka_unit_test(a_failing_back_end_is_ejected_and_probed),
-        cmocka_unit_test(a_released_back_end_outlives_its_listing),
+        cmocka_unit_test(many_gateways_together_do_not_overload_an_engine),
+        cmocka_unit_test(gateways_of_the_own_region_get_most_slots),
+        cmocka_unit_test(an_engine_without_recent_reports_is_not_taken_for_idle),
+        cmocka_unit_test(an_answering_engine_gets_requests_without_reports),
+        cmocka_unit_test(a_report_of_lost_weights_overrides_the_list),
+        cmocka_unit_test(a_new_gateway_waits_for_the_first_load_reports),
+        cmocka_unit_test(draining_and_empty_engines_are_not_eligible),
+        cmocka_unit_test(an_unlisted_backend_stays_usable_for_its_grace_period),
+        cmocka_unit_test(entries_lost_in_a_store_outage_stay_until_the_store_recovers),
+        cmocka_unit_test(an_entry_lost_in_an_outage_gets_the_relist_grace_period),
+        cmocka_unit_test(a_later_outage_does_not_extend_an_ordinary_unlisting),
+        cmocka_unit_test(a_store_that_answers_soon_after_the_start_has_not_failed),
+        cmocka_unit_test(an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period),
+        cmocka_unit_test(heard_after_rules_out_engines_that_are_silent_since),
+        cmocka_unit_test(an_entry_with_a_lower_sequence_is_ignored),
+        cmocka_unit_test(draining_is_final_for_a_start),
+        cmocka_unit_test(draining_of_an_earlier_start_does_not_bind_a_later_one),
+        cmocka_unit_test(without_start_times_a_lower_sequence_is_applied),
+        cmocka_unit_test(without_start_times_a_later_entry_revokes_draining),
+        cmocka_unit_test(a_new_entry_replaces_the_backend_at_its_address),
+        cmocka_unit_test(engines_below_the_required_versions_are_not_eligible),
+        cmocka_unit_test(an_engine_that_may_be_late_needs_the_later_version),
+        cmocka_unit_test(a_stalled_engine_gets_no_requests_until_it_answers),
+        cmocka_unit_test(a_loading_engine_is_not_eligible),
+        cmocka_unit_test(streams_aborted_to_load_weights_are_not_failures),
+        cmocka_unit_test(a_long_request_avoids_an_engine_that_will_switch_weights),
+        cmocka_unit_test(a_long_request_goes_to_a_switching_engine_if_there_is_no_other),
+        cmocka_unit_test(an_excluded_engine_of_the_required_version_may_serve_again),
+        cmocka_unit_test(a_restart_under_the_same_id_resets_the_health),
+        cmocka_unit_test(a_report_of_an_earlier_start_is_ignored),
+        cmocka_unit_test(a_report_of_a_later_start_replaces_the_listed_one),
+        cmocka_unit_test(a_report_does_not_list_an_unlisted_backend_again),
+        cmocka_unit_test(a_backend_presumed_down_gets_no_requests_until_it_reports),
+        cmocka_unit_test(an_empty_engine_may_serve_the_version_it_is_about_to_load),
+        cmocka_unit_test(a_rank_key_selects_the_same_backend_in_all_gateways),
+        cmocka_unit_test(a_listed_start_is_current_even_if_its_clock_was_set_back),
+        cmocka_unit_test(an_entry_without_start_time_is_not_trusted_among_dated_ones),
+        cmocka_unit_test(an_undated_entry_of_a_small_service_is_judged_by_all_entries),
+        cmocka_unit_test(pending_prompt_tokens_of_an_engine_are_bounded),
+        cmocka_unit_test(near_engines_are_preferred_until_they_are_busier),
+        cmocka_unit_test(a_failing_backend_is_ejected_and_probed),
+        cmocka_unit_test(a_retained_backend_outlives_its_listing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
