--- a/src/core/weight_install.c
+++ b/src/core/weight_install.c
@@ -6,76 +6,78 @@
                          const struct weight_install_settings *settings, uint64_t now)
 {
     *install = (struct weight_install){.settings = *settings,
-                                       .predecessor = true,
-                                       .predecessor_until = now + settings->call_life_us};
+                                       .predecessor_may_order = true,
+                                       .predecessor_until = now + settings->call_lifetime_us};
 }
 
 /* --- what may still act at the engine ------------------------------------------------------------
  */
 
-static bool order_in_doubt(const struct weight_install *install, uint64_t now)
+static bool order_is_in_doubt(const struct weight_install *install, uint64_t now)
 {
-    return now < install->order_doubt_until &&
-           install->engine.sequence <= install->order_doubt_sequence;
+    return now < install->in_doubt_order_until &&
+           install->engine.sequence <= install->in_doubt_order_sequence;
 }
 
 /* An earlier process can have ordered only versions above the engine's, and none above this one. If
  * this one follows the engine's directly, there is no other, and its own pieces spoil nothing. */
-static bool predecessor_in_doubt(const struct weight_install *install, uint64_t now)
+static bool predecessor_is_in_doubt(const struct weight_install *install, uint64_t now)
 {
-    return (install->predecessor || install->predecessor_put) && now < install->predecessor_until &&
-           install->version > install->engine.version + 1;
+    return (install->predecessor_may_order || install->predecessor_may_put) &&
+           now < install->predecessor_until && install->version > install->engine.version + 1;
 }
 
 /* Only at the engine's start that the earlier process knew: its connections to others have ended.
  * It can have put only versions above the engine's, and none above this one. */
-static bool knows_of_earlier_put(const struct weight_install *install)
+static bool known_predecessor_may_put(const struct weight_install *install)
 {
-    bool same_start = !install->earlier_born || !install->engine.born ||
-                      install->earlier_born == install->engine.born;
-    return install->earlier_until && same_start && install->version > install->engine.version + 1;
+    bool same_start = !install->known_predecessor_born || !install->engine.born ||
+                      install->known_predecessor_born == install->engine.born;
+    return install->known_predecessor_until && same_start &&
+           install->version > install->engine.version + 1;
 }
 
-void weight_install_heard_of_predecessor(struct weight_install *install, uint64_t heard_at,
-                                         uint64_t born)
+void weight_install_note_predecessor(struct weight_install *install, uint64_t heard_at,
+                                     uint64_t born)
 {
-    uint64_t until = heard_at + install->settings.call_life_us;
-    if (until <= install->earlier_until)
+    uint64_t until = heard_at + install->settings.call_lifetime_us;
+    if (until <= install->known_predecessor_until)
         return;
-    install->earlier_until = until;
-    install->earlier_born = born;
+    install->known_predecessor_until = until;
+    install->known_predecessor_born = born;
 }
 
-static bool is_bound_by_order(const struct weight_install *install, uint64_t now)
+static bool has_unresolved_calls(const struct weight_install *install, uint64_t now)
 {
     return install->order != ORDER_NONE || install->engine.loading ||
-           order_in_doubt(install, now) || now < install->put_doubt_until;
+           order_is_in_doubt(install, now) || now < install->in_doubt_put_until;
 }
 
-bool weight_install_is_bound(const struct weight_install *install, uint64_t now)
+bool weight_install_is_pinned(const struct weight_install *install, uint64_t now)
 {
-    return install->call != INSTALL_WAIT || is_bound_by_order(install, now);
+    return install->stage_call != INSTALL_NO_ACTION || has_unresolved_calls(install, now);
 }
 
 bool weight_install_change(struct weight_install *install, uint64_t version,
                            struct install_piece *pieces, uint32_t piece_count, uint64_t now)
 {
-    install->yielding = !is_bound_by_order(install, now) && install->call != INSTALL_WAIT;
-    if (weight_install_is_bound(install, now))
+    install->change_pending =
+        !has_unresolved_calls(install, now) && install->stage_call != INSTALL_NO_ACTION;
+    if (weight_install_is_pinned(install, now))
         return false;
     install->version = version;
     install->pieces = pieces;
     install->piece_count = piece_count;
     install->held_count = 0;
-    install->order_at = 0;
-    install->order_pause = 0;
-    install->effect_until = 0;
+    install->ordered_at = 0;
+    install->order_backoff_until = 0;
+    install->order_effect_deadline = 0;
     if (piece_count)
         memset(pieces, 0, piece_count * sizeof *pieces);
     return true;
 }
 
-void weight_install_hold(struct weight_install *install, uint32_t piece)
+void weight_install_mark_held(struct weight_install *install, uint32_t piece)
 {
     if (piece >= install->piece_count || install->pieces[piece].held)
         return;
@@ -86,24 +88,24 @@
 /* --- the engine's reports ------------------------------------------------------------------------
  */
 
-static void forget_readings(struct weight_install *install)
+static void clear_verification(struct weight_install *install)
 {
     for (uint32_t i = 0; i < install->piece_count; i++)
-        install->pieces[i].read_at = 0;
+        install->pieces[i].verified_at = 0;
 }
 
-static void settle_order(struct weight_install *install, uint64_t now)
+static void update_order_state(struct weight_install *install, uint64_t now)
 {
     bool taken = install->engine.sequence != install->order_sequence;
-    if (install->order == ORDER_ANSWERED && (taken || now >= install->effect_until))
+    if (install->order == ORDER_ANSWERED && (taken || now >= install->order_effect_deadline))
         install->order = ORDER_NONE;
 }
 
-static void settle_predecessor(struct weight_install *install, uint64_t now)
+static void update_predecessor(struct weight_install *install, uint64_t now)
 {
     if (now >= install->predecessor_until ||
         install->engine.sequence > install->predecessor_sequence)
-        install->predecessor = false;
+        install->predecessor_may_order = false;
 }
 
 bool weight_install_report(struct weight_install *install, const struct install_engine *engine,
@@ -119,16 +121,16 @@
         install->predecessor_sequence = engine->sequence;
     /* Another engine may stand at the address since the last report, with an empty stage. */
     if (restarted || !install->reachable)
-        forget_readings(install);
+        clear_verification(install);
     install->reported = true;
     install->reachable = true;
     install->engine = *engine;
-    settle_order(install, now);
-    settle_predecessor(install, now);
+    update_order_state(install, now);
+    update_predecessor(install, now);
     return restarted;
 }
 
-void weight_install_lost(struct weight_install *install)
+void weight_install_report_missed(struct weight_install *install)
 {
     install->reachable = false;
 }
@@ -139,23 +141,23 @@
 void weight_install_stage_done(struct weight_install *install, enum install_result result,
                                uint64_t now)
 {
-    struct install_piece *piece = &install->pieces[install->call_piece];
-    bool put = install->call == INSTALL_PUT;
-    install->call = INSTALL_WAIT;
+    struct install_piece *piece = &install->pieces[install->stage_call_piece];
+    bool put = install->stage_call == INSTALL_PUT;
+    install->stage_call = INSTALL_NO_ACTION;
     if (put && result == INSTALL_NO_ANSWER)
-        install->put_doubt_until = now + install->settings.call_life_us;
+        install->in_doubt_put_until = now + install->settings.call_lifetime_us;
     if (!put && result == INSTALL_MISSING)
-        install->predecessor = false; /* it orders only what lies there whole */
+        install->predecessor_may_order = false; /* it orders only what lies there whole */
     if (!put && result == INSTALL_REFUSED && !piece->staged)
-        install->predecessor_put = true; /* what this process staged may have turned bad */
+        install->predecessor_may_put = true; /* what this process staged may have turned bad */
     if (result == INSTALL_DONE) {
         piece->staged = true;
-        piece->foreign = false;
-        piece->read_at = put ? 0 : install->call_began;
+        piece->mismatched = false;
+        piece->verified_at = put ? 0 : install->stage_call_started_at;
     } else if (put || result == INSTALL_REFUSED || result == INSTALL_MISSING) {
         piece->staged = false;
-        piece->foreign = true;
-        piece->read_at = 0;
+        piece->mismatched = true;
+        piece->verified_at = 0;
     }
 }
 
@@ -164,26 +166,27 @@
 static bool find_unstaged(const struct weight_install *install, uint64_t now,
                           struct install_action *action)
 {
-    bool may_put = !predecessor_in_doubt(install, now);
+    bool may_put = !predecessor_is_in_doubt(install, now);
     for (uint32_t i = 0; i < install->piece_count; i++) {
         const struct install_piece *piece = &install->pieces[i];
         if (!piece->held || piece->staged)
             continue;
-        bool known = piece->foreign || !install->predecessor;
-        if (known && !may_put)
+        bool contents_known = piece->mismatched || !install->predecessor_may_order;
+        if (contents_known && !may_put)
             continue;
-        *action = (struct install_action){.kind = known ? INSTALL_PUT : INSTALL_READ, .piece = i};
+        *action = (struct install_action){.kind = contents_known ? INSTALL_PUT : INSTALL_READ,
+                                          .piece = i};
         return true;
     }
     return false;
 }
 
 /* \return the piece whose last reading is the oldest */
-static uint32_t oldest_reading(const struct weight_install *install)
+static uint32_t least_recently_verified(const struct weight_install *install)
 {
     uint32_t oldest = 0;
     for (uint32_t i = 1; i < install->piece_count; i++)
-        if (install->pieces[i].read_at < install->pieces[oldest].read_at)
+        if (install->pieces[i].verified_at < install->pieces[oldest].verified_at)
             oldest = i;
     return oldest;
 }
@@ -198,39 +201,41 @@
     return true;
 }
 
-uint64_t weight_install_read_at(const struct weight_install *install)
+uint64_t weight_install_verified_at(const struct weight_install *install)
 {
-    return all_staged(install) ? install->pieces[oldest_reading(install)].read_at : 0;
+    return all_staged(install) ? install->pieces[least_recently_verified(install)].verified_at : 0;
 }
 
 bool weight_install_is_staged(const struct weight_install *install)
 {
-    return weight_install_read_at(install) > 0;
+    return weight_install_verified_at(install) > 0;
 }
 
 /* An order is near, under way, or may still be taken. */
-static bool order_is_near(const struct weight_install *install, uint64_t now, uint64_t turn)
+static bool order_is_imminent(const struct weight_install *install, uint64_t now,
+                              uint64_t scheduled_at)
 {
-    return install->order != ORDER_NONE || order_in_doubt(install, now) ||
-           now + install->settings.reread_us >= turn;
+    return install->order != ORDER_NONE || order_is_in_doubt(install, now) ||
+           now + install->settings.reread_interval_us >= scheduled_at;
 }
 
 /* A put of an earlier process may come between a reading and the order. */
-static bool may_be_overwritten(const struct weight_install *install, uint64_t read_at)
+static bool may_be_overwritten(const struct weight_install *install, uint64_t verified_at)
 {
-    return knows_of_earlier_put(install) && read_at < install->earlier_until;
+    return known_predecessor_may_put(install) && verified_at < install->known_predecessor_until;
 }
 
-static bool find_stale(const struct weight_install *install, uint64_t now, uint64_t turn,
-                       struct install_action *action)
+static bool find_stale_piece(const struct weight_install *install, uint64_t now,
+                             uint64_t scheduled_at, struct install_action *action)
 {
     if (install->engine.loading || !all_staged(install))
         return false; /* what is being loaded was taken already */
-    uint32_t piece = oldest_reading(install);
-    uint64_t read_at = install->pieces[piece].read_at;
-    bool stale = now >= read_at + install->settings.reread_us ||
-                 (may_be_overwritten(install, read_at) && now >= install->earlier_until);
-    if (read_at && !(stale && order_is_near(install, now, turn)))
+    uint32_t piece = least_recently_verified(install);
+    uint64_t verified_at = install->pieces[piece].verified_at;
+    bool stale =
+        now >= verified_at + install->settings.reread_interval_us ||
+        (may_be_overwritten(install, verified_at) && now >= install->known_predecessor_until);
+    if (verified_at && !(stale && order_is_imminent(install, now, scheduled_at)))
         return false;
     *action = (struct install_action){.kind = INSTALL_READ, .piece = piece};
     return true;
@@ -239,26 +244,27 @@
 /* --- the order -----------------------------------------------------------------------------------
  */
 
-bool weight_install_is_done(const struct weight_install *install)
+bool weight_install_is_complete(const struct weight_install *install)
 {
     return install->version && install->engine.version >= install->version;
 }
 
-static bool may_order(const struct weight_install *install, uint64_t now, uint64_t turn)
+static bool may_order(const struct weight_install *install, uint64_t now, uint64_t scheduled_at)
 {
-    bool begun = install->order_at != 0; /* its turn may have moved since */
+    bool begun = install->ordered_at != 0; /* its turn may have moved since */
     if (!install->reachable || install->order != ORDER_NONE || install->engine.loading ||
-        install->engine.leaving || (!begun && now < turn) || now < install->order_pause)
+        install->engine.leaving || (!begun && now < scheduled_at) ||
+        now < install->order_backoff_until)
         return false;
-    uint64_t read_at = weight_install_read_at(install);
-    return read_at && now < read_at + install->settings.fresh_us &&
-           !may_be_overwritten(install, read_at);
+    uint64_t verified_at = weight_install_verified_at(install);
+    return verified_at && now < verified_at + install->settings.verification_valid_us &&
+           !may_be_overwritten(install, verified_at);
 }
 
-static bool find_order(struct weight_install *install, uint64_t now, uint64_t turn,
+static bool find_order(struct weight_install *install, uint64_t now, uint64_t scheduled_at,
                        struct install_action *action)
 {
-    if (!may_order(install, now, turn))
+    if (!may_order(install, now, scheduled_at))
         return false;
     *action = (struct install_action){.kind = INSTALL_ORDER, .sequence = install->engine.sequence};
     return true;
@@ -269,48 +275,49 @@
 {
     install->order = result == INSTALL_DONE ? ORDER_ANSWERED : ORDER_NONE;
     if (result == INSTALL_REFUSED || result == INSTALL_UNSENT) {
-        install->order_pause = now + install->settings.refused_us;
-        install->effect_until = 0;
+        install->order_backoff_until = now + install->settings.order_backoff_us;
+        install->order_effect_deadline = 0;
     }
     if (result == INSTALL_NO_ANSWER) {
-        install->order_doubt_sequence = install->order_sequence;
-        install->order_doubt_until = now + install->settings.call_life_us;
+        install->in_doubt_order_sequence = install->order_sequence;
+        install->in_doubt_order_until = now + install->settings.call_lifetime_us;
     }
-    settle_order(install, now);
+    update_order_state(install, now);
 }
 
 /* What is put into an engine that is about to end is lost with it, and it runs nothing new. But as
  * long as it may take an order that was given, its stage is kept right, report or not. */
-static bool needs_nothing(const struct weight_install *install, uint64_t now)
+static bool is_suspended(const struct weight_install *install, uint64_t now)
 {
-    bool may_be_taken = install->order != ORDER_NONE || order_in_doubt(install, now);
+    bool may_be_taken = install->order != ORDER_NONE || order_is_in_doubt(install, now);
     return !may_be_taken && (!install->reachable || install->engine.leaving);
 }
 
 struct install_action weight_install_next(struct weight_install *install, uint64_t now,
-                                          uint64_t turn)
+                                          uint64_t scheduled_at)
 {
-    struct install_action action = {.kind = INSTALL_WAIT};
-    if (!install->version || weight_install_is_done(install) || needs_nothing(install, now))
+    struct install_action action = {.kind = INSTALL_NO_ACTION};
+    if (!install->version || weight_install_is_complete(install) || is_suspended(install, now))
         return action;
-    settle_order(install, now);
-    if (install->yielding) {
-        install->yielding = install->call != INSTALL_WAIT;
+    update_order_state(install, now);
+    if (install->change_pending) {
+        install->change_pending = install->stage_call != INSTALL_NO_ACTION;
         return action;
     }
-    if (find_order(install, now, turn, &action)) {
+    if (find_order(install, now, scheduled_at, &action)) {
         install->order = ORDER_SENT;
         install->order_sequence = action.sequence;
-        install->order_at = now;
-        install->effect_until = now + install->settings.order_effect_us;
+        install->ordered_at = now;
+        install->order_effect_deadline = now + install->settings.order_effect_timeout_us;
         return action;
     }
-    if (install->call != INSTALL_WAIT)
+    if (install->stage_call != INSTALL_NO_ACTION)
         return action;
-    if (find_unstaged(install, now, &action) || find_stale(install, now, turn, &action)) {
-        install->call = action.kind;
-        install->call_piece = action.piece;
-        install->call_began = now;
+    if (find_unstaged(install, now, &action) ||
+        find_stale_piece(install, now, scheduled_at, &action)) {
+        install->stage_call = action.kind;
+        install->stage_call_piece = action.piece;
+        install->stage_call_started_at = now;
     }
     return action;
 }
@@ -319,17 +326,17 @@
 {
     if (install->engine.loading)
         return true;
-    if (!install->version || weight_install_is_done(install))
+    if (!install->version || weight_install_is_complete(install))
         return false;
-    return now < install->effect_until;
+    return now < install->order_effect_deadline;
 }
 
 bool weight_install_is_busy(const struct weight_install *install, uint64_t now)
 {
-    if (!install->version || !install->reachable || weight_install_is_done(install))
+    if (!install->version || !install->reachable || weight_install_is_complete(install))
         return false;
-    if (needs_nothing(install, now))
+    if (is_suspended(install, now))
         return false;
-    return install->call != INSTALL_WAIT || install->order != ORDER_NONE ||
-           order_in_doubt(install, now) || !weight_install_is_staged(install);
+    return install->stage_call != INSTALL_NO_ACTION || install->order != ORDER_NONE ||
+           order_is_in_doubt(install, now) || !weight_install_is_staged(install);
 }
--- a/src/core/weight_install.h
+++ b/src/core/weight_install.h
@@ -20,20 +20,23 @@
 
 /** All times are microseconds of one monotonic clock. */
 struct weight_install_settings {
-    uint64_t fresh_us;  /**< the engine may take a piece that was read back this recently */
-    uint64_t reread_us; /**< while an order may be taken, pieces are read back this often */
     uint64_t
-        call_life_us; /**< a call that got no answer may act for so long after it is given up */
-    uint64_t order_effect_us; /**< an order without effect is given again after this */
-    uint64_t refused_us; /**< an order that was refused or not sent is not given again before */
+        verification_valid_us; /**< the engine may take a piece that was read back this recently */
+    uint64_t
+        reread_interval_us; /**< while an order may be taken, pieces are read back this often */
+    uint64_t
+        call_lifetime_us; /**< a call that got no answer may act for so long after it is given up */
+    uint64_t order_effect_timeout_us; /**< an order without effect is given again after this */
+    uint64_t
+        order_backoff_us; /**< an order that was refused or not sent is not given again before */
 };
 
 /** What is known of one piece of the version that is installed. */
 struct install_piece {
-    bool held;        /**< this process has its bytes */
-    bool staged;      /**< it was put, or read back right */
-    bool foreign;     /**< something else lies in its place, or nothing */
-    uint64_t read_at; /**< begin of the last reading that found it right; 0: none */
+    bool held;            /**< this process has its bytes */
+    bool staged;          /**< it was put, or read back right */
+    bool mismatched;      /**< something else lies in its place, or nothing */
+    uint64_t verified_at; /**< begin of the last reading that found it right; 0: none */
 };
 
 /** The engine's own report. */
@@ -47,10 +50,10 @@
 };
 
 enum install_action_kind {
-    INSTALL_WAIT,  /**< nothing to do before the next event */
-    INSTALL_READ,  /**< read `piece` back and compare it */
-    INSTALL_PUT,   /**< put `piece` into the stage */
-    INSTALL_ORDER, /**< order the engine to take what lies in the stage */
+    INSTALL_NO_ACTION, /**< nothing to do before the next event */
+    INSTALL_READ,      /**< read `piece` back and compare it */
+    INSTALL_PUT,       /**< put `piece` into the stage */
+    INSTALL_ORDER,     /**< order the engine to take what lies in the stage */
 };
 
 struct install_action {
@@ -85,28 +88,30 @@
     bool reported; /**< at least one report came */
     struct install_engine engine;
 
-    bool yielding;                 /**< no new call: a change of version waits for the last one */
-    enum install_action_kind call; /**< under way at the stage; INSTALL_WAIT: none */
-    uint32_t call_piece;
-    uint64_t call_began;
+    bool change_pending; /**< no new call: a change of version waits for the last one */
+    enum install_action_kind stage_call; /**< under way at the stage; INSTALL_NO_ACTION: none */
+    uint32_t stage_call_piece;
+    uint64_t stage_call_started_at;
 
     enum install_order_state order;
     uint64_t order_sequence;
-    uint64_t order_at;     /**< time of the last order; 0: none since the version was begun */
-    uint64_t order_pause;  /**< no order before this time */
-    uint64_t effect_until; /**< until then the last order may show its effect */
+    uint64_t ordered_at; /**< time of the last order; 0: none since the version was begun */
+    uint64_t order_backoff_until;   /**< no order before this time */
+    uint64_t order_effect_deadline; /**< until then the last order may show its effect */
 
-    uint64_t order_doubt_sequence; /**< of orders that got no answer */
-    uint64_t order_doubt_until;    /**< until then they may be taken; 0: none */
-    uint64_t put_doubt_until;      /**< until then puts without an answer may act */
+    uint64_t in_doubt_order_sequence; /**< of orders that got no answer */
+    uint64_t in_doubt_order_until;    /**< until then they may be taken; 0: none */
+    uint64_t in_doubt_put_until;      /**< until then puts without an answer may act */
 
-    bool predecessor;              /**< an earlier process may have left an order */
+    bool predecessor_may_order;    /**< an earlier process may have left an order */
     uint64_t predecessor_sequence; /**< orders taken as this process first heard of the engine */
     uint64_t predecessor_until;
-    bool predecessor_put; /**< it was filling the stage: its last put may still act until then */
+    bool
+        predecessor_may_put; /**< it was filling the stage: its last put may still act until then */
 
-    uint64_t earlier_until; /**< until then a put of a process that others knew may act; 0: none */
-    uint64_t earlier_born;  /**< the engine's start that it reported last; 0: none */
+    uint64_t known_predecessor_until; /**< until then a put of a process that others knew may act;
+                                         0: none */
+    uint64_t known_predecessor_born;  /**< the engine's start that it reported last; 0: none */
 };
 
 /** \brief Begin without a version, right after this process started. */
@@ -119,12 +124,12 @@
  * \param heard_at when it was last heard
  * \param born of the engine that it reported last; 0: it reported none
  */
-void weight_install_heard_of_predecessor(struct weight_install *install, uint64_t heard_at,
-                                         uint64_t born);
+void weight_install_note_predecessor(struct weight_install *install, uint64_t heard_at,
+                                     uint64_t born);
 
 /** \return whether calls that are under way or may still act bind the engine to the version that is
  * being installed */
-bool weight_install_is_bound(const struct weight_install *install, uint64_t now);
+bool weight_install_is_pinned(const struct weight_install *install, uint64_t now);
 
 /**
  * \brief Install this version from now on.
@@ -135,7 +140,7 @@
                            struct install_piece *pieces, uint32_t piece_count, uint64_t now);
 
 /** \brief This process has the piece's bytes now. */
-void weight_install_hold(struct weight_install *install, uint32_t piece);
+void weight_install_mark_held(struct weight_install *install, uint32_t piece);
 
 /** \brief A report of the engine came. \return whether the engine was started anew since the last
  */
@@ -143,14 +148,14 @@
                            uint64_t now);
 
 /** \brief The engine gave no report. */
-void weight_install_lost(struct weight_install *install);
+void weight_install_report_missed(struct weight_install *install);
 
 /**
  * \param turn time from which the order may be given
  * \return what to do now; the call it names counts as sent
  */
 struct install_action weight_install_next(struct weight_install *install, uint64_t now,
-                                          uint64_t turn);
+                                          uint64_t scheduled_at);
 
 /** \brief The call at the stage ended. */
 void weight_install_stage_done(struct weight_install *install, enum install_result result,
@@ -161,11 +166,11 @@
                                uint64_t now);
 
 /** \return whether the engine runs the version, or a newer one */
-bool weight_install_is_done(const struct weight_install *install);
+bool weight_install_is_complete(const struct weight_install *install);
 
 /** \return begin of the oldest of the last readings that found a piece right; 0: some were not read
  */
-uint64_t weight_install_read_at(const struct weight_install *install);
+uint64_t weight_install_verified_at(const struct weight_install *install);
 
 /** \return whether all of the version lies in the stage, read back */
 bool weight_install_is_staged(const struct weight_install *install);
--- a/src/loader/installer.c
+++ b/src/loader/installer.c
@@ -13,51 +13,53 @@
 #define STAGE_TIMEOUT_MS 2000
 /** An order without an answer is given again after this; the engine takes no requests meanwhile. */
 #define ORDER_TIMEOUT_MS 600
-#define STAGE_LIMIT (8U << 20)
+#define ANSWER_BODY_LIMIT_BYTES (8U << 20)
 
 static const struct weight_install_settings install_settings = {
     /** Half of the 3 s in which a piece may turn bad unseen: the rest is the order's way. */
-    .fresh_us = 1500000,
-    /** A third of `fresh_us`, so that a reading of all pieces may take the other two thirds. */
-    .reread_us = 500000,
+    .verification_valid_us = 1500000,
+    /** A third of `verification_valid_us`, so that a reading of all pieces may take the other two
+       thirds. */
+    .reread_interval_us = 500000,
     /** An engine may handle an order or a put so long after its caller gave it up. */
-    .call_life_us = 12000000,
-    .order_effect_us = 1500000,
+    .call_lifetime_us = 12000000,
+    .order_effect_timeout_us = 1500000,
     /** An engine's report is some 60 ms old; a refused order would meet the same state before. */
-    .refused_us = 100000,
+    .order_backoff_us = 100000,
 };
 
 struct installer {
     uv_loop_t *loop;
-    struct http_caller *stage;
-    struct http_caller *order;
+    struct http_caller *stage_caller;
+    struct http_caller *order_caller;
     char model[BACKEND_NAME_SIZE];
     struct piece_store *store;
     struct weight_install install;
     struct install_piece *pieces; /* of the store; NULL while its manifest is not known */
-    uint64_t turn;                /* time from which the order may be given, as of the last tick */
+    uint64_t scheduled_at;        /* time from which the order may be given, as of the last tick */
     bool confirmed;               /* the engine's report showed the store's version */
-    struct piece_store *recovering; /* gets what lies at the engine; NULL: none */
-    uint32_t recover_piece;
-    uint32_t recovered;
+    struct piece_store *recovery_store; /* gets what lies at the engine; NULL: none */
+    uint32_t recovery_piece;
+    uint32_t recovered_count;
 };
 
-static void take_step(struct installer *installer, uint64_t now);
+static void run_next_action(struct installer *installer, uint64_t now);
 
 struct installer *installer_create(uv_loop_t *loop, const struct sockaddr_in *engine,
                                    const char *model)
 {
     struct installer *installer = memory_zero(1, sizeof *installer);
     installer->loop = loop;
-    installer->stage = http_caller_create(loop, engine);
-    installer->order = http_caller_create(loop, engine);
+    installer->stage_caller = http_caller_create(loop, engine);
+    installer->order_caller = http_caller_create(loop, engine);
     snprintf(installer->model, sizeof installer->model, "%s", model);
     weight_install_init(&installer->install, &install_settings, cluster_now());
     return installer;
 }
 
 /* What became of a call, as far as it can be known. */
-static enum install_result result_of(enum call_result result, const struct http_message *message)
+static enum install_result install_result_from_call(enum call_result result,
+                                                    const struct http_message *message)
 {
     if (result == CALL_NOT_REACHED)
         return INSTALL_UNSENT;
@@ -66,7 +68,7 @@
     return http_message_status(message) < 300 ? INSTALL_DONE : INSTALL_REFUSED;
 }
 
-static const char *result_name(enum install_result result)
+static const char *install_result_name(enum install_result result)
 {
     static const char *const names[] = {[INSTALL_DONE] = "done",
                                         [INSTALL_REFUSED] = "refused",
@@ -76,7 +78,7 @@
     return names[result];
 }
 
-static unsigned status_of(enum call_result result, const struct http_message *message)
+static unsigned answered_status(enum call_result result, const struct http_message *message)
 {
     return result == CALL_ANSWERED ? http_message_status(message) : 0;
 }
@@ -102,7 +104,7 @@
 }
 
 /* The machine learns of the version once its number of pieces is known. */
-static void begin_version(struct installer *installer, uint64_t now)
+static void start_version(struct installer *installer, uint64_t now)
 {
     const struct piece_manifest *manifest = piece_store_manifest(installer->store);
     if (installer->pieces || !manifest)
@@ -117,16 +119,16 @@
     for (uint32_t i = 0; i < manifest->count; i++) {
         size_t size;
         if (piece_store_data(installer->store, i, &size))
-            weight_install_hold(&installer->install, i);
+            weight_install_mark_held(&installer->install, i);
     }
 }
 
 void installer_on_piece(struct installer *installer, uint32_t piece)
 {
     uint64_t now = cluster_now();
-    begin_version(installer, now);
-    weight_install_hold(&installer->install, piece);
-    take_step(installer, now);
+    start_version(installer, now);
+    weight_install_mark_held(&installer->install, piece);
+    run_next_action(installer, now);
 }
 
 /* --- the stage -----------------------------------------------------------------------------------
@@ -146,35 +148,36 @@
                                      .body = body,
                                      .body_size = size,
                                      .timeout_ms = STAGE_TIMEOUT_MS,
-                                     .body_limit = STAGE_LIMIT,
+                                     .body_limit = ANSWER_BODY_LIMIT_BYTES,
                                      .done = done,
                                      .context = installer};
-    http_caller_send(installer->stage, &request);
+    http_caller_send(installer->stage_caller, &request);
     buffer_clear(&target);
 }
 
 /* A call that failed is given again with the next tick, not at once. */
-static void finish_stage_call(struct installer *installer, enum install_result result,
-                              unsigned status)
+static void complete_stage_call(struct installer *installer, enum install_result result,
+                                unsigned status)
 {
     uint64_t now = cluster_now();
-    uint32_t piece = installer->install.call_piece;
-    bool put = installer->install.call == INSTALL_PUT;
+    uint32_t piece = installer->install.stage_call_piece;
+    bool put = installer->install.stage_call == INSTALL_PUT;
     bool was_staged = installer->pieces[piece].staged;
     bool failed = put ? result != INSTALL_DONE
                       : was_staged || result == INSTALL_UNSENT || result == INSTALL_NO_ANSWER;
     if (result != INSTALL_DONE && failed)
         log_event(LOG_LEVEL_WARN, "install", put ? "put-failed" : "read-failed",
                   "version=%" PRIu64 " piece=%u result=%s status=%u", installer->install.version,
-                  piece, result_name(result), status);
+                  piece, install_result_name(result), status);
     weight_install_stage_done(&installer->install, result, now);
     if (result != INSTALL_UNSENT && result != INSTALL_NO_ANSWER)
-        take_step(installer, now);
+        run_next_action(installer, now);
 }
 
 static void on_put(void *context, enum call_result result, const struct http_message *message)
 {
-    finish_stage_call(context, result_of(result, message), status_of(result, message));
+    complete_stage_call(context, install_result_from_call(result, message),
+                        answered_status(result, message));
 }
 
 /* \return what a reading says of the piece that lies there */
@@ -193,66 +196,68 @@
 static void on_get(void *context, enum call_result result, const struct http_message *message)
 {
     struct installer *installer = context;
-    enum install_result outcome = result_of(result, message);
+    enum install_result outcome = install_result_from_call(result, message);
     if (result == CALL_ANSWERED)
-        outcome = compare_piece(installer, installer->install.call_piece, message);
-    finish_stage_call(installer, outcome, status_of(result, message));
+        outcome = compare_piece(installer, installer->install.stage_call_piece, message);
+    complete_stage_call(installer, outcome, answered_status(result, message));
 }
 
 /* --- recovery of pieces from the engine's stage --------------------------------------------------
  */
 
-static void recover_next(struct installer *installer);
+static void read_next_recovery_piece(struct installer *installer);
 
-static void on_recovered(void *context, enum call_result result, const struct http_message *message)
+static void on_recovery_read(void *context, enum call_result result,
+                             const struct http_message *message)
 {
     struct installer *installer = context;
-    uint32_t piece = installer->recover_piece;
-    if (!installer->recovering)
+    uint32_t piece = installer->recovery_piece;
+    if (!installer->recovery_store)
         return;
     bool there = result == CALL_ANSWERED && http_message_status(message) == 200;
     if (there &&
-        piece_store_offer(installer->recovering, piece, message->body.data, message->body.size))
-        installer->recovered++;
-    installer->recover_piece = piece + 1;
+        piece_store_add(installer->recovery_store, piece, message->body.data, message->body.size))
+        installer->recovered_count++;
+    installer->recovery_piece = piece + 1;
     if (result == CALL_ANSWERED)
-        recover_next(installer);
+        read_next_recovery_piece(installer);
     else
-        installer->recovering = NULL;
+        installer->recovery_store = NULL;
 }
 
-static void recover_next(struct installer *installer)
+static void read_next_recovery_piece(struct installer *installer)
 {
-    const struct piece_manifest *manifest = piece_store_manifest(installer->recovering);
-    if (installer->recover_piece < manifest->count) {
-        send_stage(installer, "GET", installer->recover_piece, NULL, 0, on_recovered);
+    const struct piece_manifest *manifest = piece_store_manifest(installer->recovery_store);
+    if (installer->recovery_piece < manifest->count) {
+        send_stage(installer, "GET", installer->recovery_piece, NULL, 0, on_recovery_read);
         return;
     }
     log_event(LOG_LEVEL_INFO, "install", "recovered", "version=%" PRIu64 " pieces=%u of=%u",
-              piece_store_version(installer->recovering), installer->recovered, manifest->count);
-    installer->recovering = NULL;
+              piece_store_version(installer->recovery_store), installer->recovered_count,
+              manifest->count);
+    installer->recovery_store = NULL;
 }
 
 bool installer_recover(struct installer *installer, struct piece_store *store)
 {
-    if (installer->recovering || installer->install.call != INSTALL_WAIT)
+    if (installer->recovery_store || installer->install.stage_call != INSTALL_NO_ACTION)
         return false;
-    installer->recovering = store;
-    installer->recover_piece = 0;
-    installer->recovered = 0;
-    recover_next(installer);
+    installer->recovery_store = store;
+    installer->recovery_piece = 0;
+    installer->recovered_count = 0;
+    read_next_recovery_piece(installer);
     return true;
 }
 
-void installer_forget_store(struct installer *installer, const struct piece_store *store)
+void installer_release_store(struct installer *installer, const struct piece_store *store)
 {
-    if (installer->recovering == store)
-        installer->recovering = NULL;
+    if (installer->recovery_store == store)
+        installer->recovery_store = NULL;
 }
 
 bool installer_is_recovering(const struct installer *installer)
 {
-    return installer->recovering != NULL;
+    return installer->recovery_store != NULL;
 }
 
 /* --- the order -----------------------------------------------------------------------------------
@@ -261,15 +266,15 @@
 static void on_order(void *context, enum call_result result, const struct http_message *message)
 {
     struct installer *installer = context;
-    enum install_result outcome = result_of(result, message);
+    enum install_result outcome = install_result_from_call(result, message);
     log_event(LOG_LEVEL_INFO, "install", "order-answered",
               "version=%" PRIu64 " result=%s status=%u sequence=%" PRIu64,
-              installer->install.version, result_name(outcome), status_of(result, message),
-              installer->install.order_sequence);
+              installer->install.version, install_result_name(outcome),
+              answered_status(result, message), installer->install.order_sequence);
     weight_install_order_done(&installer->install, outcome, cluster_now());
 }
 
-static void give_order(struct installer *installer, uint64_t now,
+static void send_order(struct installer *installer, uint64_t now,
                        const struct install_action *action)
 {
     const struct weight_install *install = &installer->install;
@@ -279,8 +284,8 @@
               "version=%" PRIu64 " held=%" PRIu64 " sequence=%" PRIu64 " read_ms_ago=%" PRIu64
               " unanswered=%d requests=%u",
               install->version, install->engine.version, action->sequence,
-              (now - weight_install_read_at(install)) / 1000, now < install->order_doubt_until,
-              install->engine.requests);
+              (now - weight_install_verified_at(install)) / 1000,
+              now < install->in_doubt_order_until, install->engine.requests);
     metric_add(METRIC_ENGINE_LOADS, 1);
     struct caller_request request = {.method = "POST",
                                      .target = platform_order_target(),
@@ -288,10 +293,10 @@
                                      .body = body.data,
                                      .body_size = body.size,
                                      .timeout_ms = ORDER_TIMEOUT_MS,
-                                     .body_limit = STAGE_LIMIT,
+                                     .body_limit = ANSWER_BODY_LIMIT_BYTES,
                                      .done = on_order,
                                      .context = installer};
-    http_caller_send(installer->order, &request);
+    http_caller_send(installer->order_caller, &request);
     buffer_clear(&body);
 }
 
@@ -299,7 +304,7 @@
                          bool reachable, uint64_t now)
 {
     if (!reachable) {
-        weight_install_lost(&installer->install);
+        weight_install_report_missed(&installer->install);
         return;
     }
     struct install_engine engine = {.born = report->load.born,
@@ -314,14 +319,14 @@
                   engine.born, engine.sequence);
 }
 
-void installer_heard_of_predecessor(struct installer *installer, uint64_t heard_at, uint64_t born)
+void installer_note_predecessor(struct installer *installer, uint64_t heard_at, uint64_t born)
 {
-    uint64_t before = installer->install.earlier_until;
-    weight_install_heard_of_predecessor(&installer->install, heard_at, born);
-    if (installer->install.earlier_until == before)
+    uint64_t before = installer->install.known_predecessor_until;
+    weight_install_note_predecessor(&installer->install, heard_at, born);
+    if (installer->install.known_predecessor_until == before)
         return;
     uint64_t now = cluster_now();
-    uint64_t until = installer->install.earlier_until;
+    uint64_t until = installer->install.known_predecessor_until;
     log_event(LOG_LEVEL_INFO, "install", "predecessor",
               "heard_ms_ago=%" PRIu64 " born=%" PRIu64 " engine_born=%" PRIu64
               " may_act_ms=%" PRIu64,
@@ -332,24 +337,25 @@
 /* --- steps ---------------------------------------------------------------------------------------
  */
 
-static void log_confirmed(struct installer *installer, uint64_t now)
+static void log_confirmation(struct installer *installer, uint64_t now)
 {
     const struct weight_install *install = &installer->install;
-    if (installer->confirmed || !weight_install_is_done(install))
+    if (installer->confirmed || !weight_install_is_complete(install))
         return;
     installer->confirmed = true;
-    if (install->order_at)
+    if (install->ordered_at)
         log_event(LOG_LEVEL_INFO, "install", "confirmed", "version=%" PRIu64 " took_ms=%" PRIu64,
-                  install->engine.version, (now - install->order_at) / 1000);
+                  install->engine.version, (now - install->ordered_at) / 1000);
 }
 
-static void take_step(struct installer *installer, uint64_t now)
+static void run_next_action(struct installer *installer, uint64_t now)
 {
-    struct install_action action = weight_install_next(&installer->install, now, installer->turn);
+    struct install_action action =
+        weight_install_next(&installer->install, now, installer->scheduled_at);
     size_t size = 0;
     const uint8_t *data = NULL;
     switch (action.kind) {
-    case INSTALL_WAIT:
+    case INSTALL_NO_ACTION:
         break;
     case INSTALL_READ:
         send_stage(installer, "GET", action.piece, NULL, 0, on_get);
@@ -359,19 +365,19 @@
         send_stage(installer, "PUT", action.piece, data, size, on_put);
         break;
     case INSTALL_ORDER:
-        give_order(installer, now, &action);
+        send_order(installer, now, &action);
         break;
     }
 }
 
-void installer_tick(struct installer *installer, uint64_t now, uint64_t turn)
+void installer_tick(struct installer *installer, uint64_t now, uint64_t scheduled_at)
 {
-    installer->turn = turn;
+    installer->scheduled_at = scheduled_at;
     if (!installer->store)
         return;
-    begin_version(installer, now);
-    log_confirmed(installer, now);
-    take_step(installer, now);
+    start_version(installer, now);
+    log_confirmation(installer, now);
+    run_next_action(installer, now);
 }
 
 bool installer_is_busy(const struct installer *installer, uint64_t now)
@@ -379,15 +385,15 @@
     return weight_install_is_busy(&installer->install, now);
 }
 
-bool installer_is_bound(const struct installer *installer, uint64_t now)
+bool installer_is_pinned(const struct installer *installer, uint64_t now)
 {
-    return weight_install_is_bound(&installer->install, now);
+    return weight_install_is_pinned(&installer->install, now);
 }
 
 bool installer_is_staged(const struct installer *installer)
 {
     return weight_install_is_staged(&installer->install) &&
-           !weight_install_is_done(&installer->install);
+           !weight_install_is_complete(&installer->install);
 }
 
 bool installer_is_loading(const struct installer *installer, uint64_t now)
--- a/src/loader/installer.h
+++ b/src/loader/installer.h
@@ -18,7 +18,7 @@
  */
 bool installer_set_store(struct installer *installer, struct piece_store *store, uint64_t now);
 /** \brief The store is about to be destroyed; it must not be the one that is installed. */
-void installer_forget_store(struct installer *installer, const struct piece_store *store);
+void installer_release_store(struct installer *installer, const struct piece_store *store);
 /**
  * \brief Read the engine's stage into a store of the version that it runs. It ends by itself, also
  * when the stage lacks a piece. \return false while another reading is under way
@@ -32,13 +32,13 @@
 void installer_on_report(struct installer *installer, const struct engine_report *report,
                          bool reachable, uint64_t now);
 /** \brief Other nodes heard of an earlier process of this loader: see core/weight_install. */
-void installer_heard_of_predecessor(struct installer *installer, uint64_t heard_at, uint64_t born);
+void installer_note_predecessor(struct installer *installer, uint64_t heard_at, uint64_t born);
 /** \param turn time from which the engine may be ordered to take the version */
-void installer_tick(struct installer *installer, uint64_t now, uint64_t turn);
+void installer_tick(struct installer *installer, uint64_t now, uint64_t scheduled_at);
 /** \return whether there is a next step to take soon */
 bool installer_is_busy(const struct installer *installer, uint64_t now);
 /** \return whether calls for the present version may still act at the engine */
-bool installer_is_bound(const struct installer *installer, uint64_t now);
+bool installer_is_pinned(const struct installer *installer, uint64_t now);
 /** \return whether all of the wanted version lies at the engine, checked */
 bool installer_is_staged(const struct installer *installer);
 /** \return whether an order is under way, as far as this process knows */
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -17,18 +17,18 @@
 
 #define REPORT_INTERVAL_MS 60
 #define REPORT_TIMEOUT_MS 600
-#define REPORT_LIMIT (1U << 20)
+#define REPORT_BODY_LIMIT_BYTES (1U << 20)
 /** An unchanged load is told again after this. */
-#define LOAD_REPEAT_US 300000
+#define LOAD_RESEND_INTERVAL_US 300000
 /** Gateways of other regions hear of the load so often, unless its weights change; they send little
  *  here, and bytes between regions are dear. */
-#define FAR_LOAD_US 390000
+#define CROSS_REGION_LOAD_INTERVAL_US 390000
 /** Time between ticks while pieces are fetched or installed, and between looks at the engine while
  *  it loads: a tenth of the time that loading takes. */
-#define BUSY_TICK_MS 25
-#define LOAD_LOG_US 500000
+#define BUSY_TICK_INTERVAL_MS 25
+#define LOAD_LOG_INTERVAL_US 500000
 /** Ages in messages leave so much open. */
-#define SAME_TIME_US 50000
+#define PREDECESSOR_TIME_TOLERANCE_US 50000
 
 static const struct start_turn_settings turn_settings = {.first_us = 2000000, .last_us = 6800000};
 
@@ -36,32 +36,33 @@
     struct process process;
     struct cluster cluster;
     struct sockaddr_in engine_address;
-    struct http_caller *engine;
+    struct http_caller *engine_caller;
     uv_timer_t timer;
     struct route_table *table;
     struct wanted_versions versions;
-    bool reconsider; /* the operator's items changed */
+    bool version_check_pending; /* the operator's items changed */
     struct installer *installer;
-    uint64_t earlier_heard_at; /* of an earlier process of this loader, by other nodes; 0: none */
-    uint64_t earlier_born;     /* of the engine that it reported last; 0: none */
+    uint64_t
+        predecessor_heard_at; /* of an earlier process of this loader, by other nodes; 0: none */
+    uint64_t predecessor_engine_born; /* of the engine that it reported last; 0: none */
     char model[BACKEND_NAME_SIZE];
     struct sockaddr_in origin;
     bool has_origin;
     struct engine_report report;
     bool reachable;
-    bool asking;
-    uint64_t next_report;
-    struct backend_load told;
-    uint64_t told_at;
-    uint64_t next_load_log;
-    uint64_t told_far_at; /* to gateways of other regions */
+    bool report_pending;
+    uint64_t next_report_at;
+    struct backend_load sent_load;
+    uint64_t load_sent_at;
+    uint64_t next_load_log_at;
+    uint64_t cross_region_load_sent_at; /* to gateways of other regions */
 };
 
 /* --- the engine's turn ---------------------------------------------------------------------------
  */
 
 /* Place of this loader among those that live, and their number. */
-static uint32_t own_position(const struct loader *loader, uint32_t *count)
+static uint32_t rollout_position(const struct loader *loader, uint32_t *count)
 {
     const struct membership *members = loader->cluster.membership;
     uint64_t own = hash_pair(loader->versions.installing,
@@ -79,14 +80,14 @@
 }
 
 /* Time from which the engine may take the version. */
-static uint64_t own_turn(const struct loader *loader)
+static uint64_t scheduled_load_time(const struct loader *loader)
 {
     uint32_t count;
     if (!loader->report.load.version)
         return 0; /* an empty engine does nothing else: at once */
-    uint32_t position = own_position(loader, &count);
+    uint32_t position = rollout_position(loader, &count);
     return start_turn(&turn_settings,
-                      wanted_versions_named_at(&loader->versions, loader->report.load.version),
+                      wanted_versions_announced_at(&loader->versions, loader->report.load.version),
                       position, count);
 }
 
@@ -96,19 +97,20 @@
 /* Time until the engine's turn to take the version that lies staged; 0: it has come, or is not
  * known.
  */
-static uint32_t turn_ms(const struct loader *loader, uint64_t now)
+static uint32_t ms_until_scheduled(const struct loader *loader, uint64_t now)
 {
-    uint64_t turn = own_turn(loader);
-    return turn > now ? (uint32_t)((turn - now) / 1000) : 0;
+    uint64_t scheduled_at = scheduled_load_time(loader);
+    return scheduled_at > now ? (uint32_t)((scheduled_at - now) / 1000) : 0;
 }
 
-static void tell_load(struct loader *loader, uint64_t now)
+static void send_load(struct loader *loader, uint64_t now)
 {
     struct backend_load load = loader->report.load;
     load.loading = loader->installer && installer_is_loading(loader->installer, now);
     load.staged = loader->installer && installer_is_staged(loader->installer);
     load.link_slow |= wanted_versions_link_is_slow(&loader->versions);
-    if (memcmp(&load, &loader->told, sizeof load) == 0 && now < loader->told_at + LOAD_REPEAT_US)
+    if (memcmp(&load, &loader->sent_load, sizeof load) == 0 &&
+        now < loader->load_sent_at + LOAD_RESEND_INTERVAL_US)
         return;
     Shuntrun__EngineLoad message = SHUNTRUN__ENGINE_LOAD__INIT;
     message.address = (char *)loader->cluster.settings->engine_address;
@@ -120,24 +122,25 @@
     message.link_slow = load.link_slow;
     message.pace_permille = load.pace_permille;
     message.born = load.born;
-    message.turn_ms = load.staged ? turn_ms(loader, now) : 0;
+    message.turn_ms = load.staged ? ms_until_scheduled(loader, now) : 0;
     message.leaving = load.leaving;
-    bool far = now >= loader->told_far_at + FAR_LOAD_US || load.loading != loader->told.loading ||
-               load.staged != loader->told.staged || load.version != loader->told.version ||
-               load.leaving != loader->told.leaving;
-    if (far)
-        loader->told_far_at = now;
-    cluster_send_load(&loader->cluster, &message, far);
-    if (now >= loader->next_load_log) {
-        loader->next_load_log = now + LOAD_LOG_US;
+    bool cross_region =
+        now >= loader->cross_region_load_sent_at + CROSS_REGION_LOAD_INTERVAL_US ||
+        load.loading != loader->sent_load.loading || load.staged != loader->sent_load.staged ||
+        load.version != loader->sent_load.version || load.leaving != loader->sent_load.leaving;
+    if (cross_region)
+        loader->cross_region_load_sent_at = now;
+    cluster_send_load(&loader->cluster, &message, cross_region);
+    if (now >= loader->next_load_log_at) {
+        loader->next_load_log_at = now + LOAD_LOG_INTERVAL_US;
         log_event(LOG_LEVEL_INFO, "engine", "load",
                   "running=%u waiting=%u memory_used=%" PRIu64 " weights=%" PRIu64
                   " loading=%d staged=%d pace_permille=%u",
                   load.running, load.waiting, load.memory_used, load.version, load.loading,
                   load.staged, load.pace_permille);
     }
-    loader->told = load;
-    loader->told_at = now;
+    loader->sent_load = load;
+    loader->load_sent_at = now;
 }
 
 static const struct service_entry *own_service(const struct loader *loader)
@@ -157,14 +160,14 @@
 }
 
 /* The engine says so in the head of each of its answers. */
-static bool says_leaving(const struct http_message *message)
+static bool announces_shutdown(const struct http_message *message)
 {
     struct answer_head head;
     platform_read_answer(message, &head);
     return head.facts.leaving;
 }
 
-static void note_leaving(const struct loader *loader, bool leaving)
+static void log_shutdown_change(const struct loader *loader, bool leaving)
 {
     if (leaving != loader->report.load.leaving)
         log_event(LOG_LEVEL_INFO, "engine", leaving ? "leaving" : "stays",
@@ -178,14 +181,14 @@
     struct loader *loader = context;
     struct engine_report report;
     uint64_t now = cluster_now();
-    loader->asking = false;
+    loader->report_pending = false;
     bool valid = result == CALL_ANSWERED && http_message_status(message) == 200 &&
                  platform_read_report(message->body.data, message->body.size, loader->model,
                                       &report) == STATUS_OK;
     set_reachable(loader, valid);
     if (valid) {
-        report.load.leaving = says_leaving(message);
-        note_leaving(loader, report.load.leaving);
+        report.load.leaving = announces_shutdown(message);
+        log_shutdown_change(loader, report.load.leaving);
         loader->report = report;
         metric_gauge_set(METRIC_ENGINE_RUNNING, report.load.running);
         metric_gauge_set(METRIC_ENGINE_WAITING, report.load.waiting);
@@ -194,27 +197,27 @@
     if (loader->installer)
         installer_on_report(loader->installer, &loader->report, valid, now);
     if (valid)
-        tell_load(loader, now);
+        send_load(loader, now);
 }
 
 /* The engine may have ended, and started again with an empty stage before the next report. */
-static void on_engine_lost(void *context)
+static void on_engine_connection_lost(void *context)
 {
     struct loader *loader = context;
     if (loader->installer)
         installer_on_report(loader->installer, &loader->report, false, cluster_now());
 }
 
-static void ask_report(struct loader *loader)
+static void request_report(struct loader *loader)
 {
     struct caller_request request = {.method = "GET",
                                      .target = platform_report_target(),
                                      .timeout_ms = REPORT_TIMEOUT_MS,
-                                     .body_limit = REPORT_LIMIT,
+                                     .body_limit = REPORT_BODY_LIMIT_BYTES,
                                      .done = on_report,
                                      .context = loader};
-    loader->asking = true;
-    http_caller_send(loader->engine, &request);
+    loader->report_pending = true;
+    http_caller_send(loader->engine_caller, &request);
 }
 
 /* --- what the platform publishes
@@ -232,10 +235,10 @@
 static void on_piece_held(void *context, const struct piece_store *store, uint32_t piece)
 {
     struct loader *loader = context;
-    wanted_versions_take_piece(&loader->versions, store, piece);
+    wanted_versions_on_piece(&loader->versions, store, piece);
 }
 
-static void want_version(struct loader *loader, uint64_t version, uint64_t named_at)
+static void want_version(struct loader *loader, uint64_t version, uint64_t announced_at)
 {
     uint64_t now = cluster_now();
     uint64_t newest = wanted_versions_newest(&loader->versions);
@@ -243,20 +246,20 @@
         return;
     log_event(LOG_LEVEL_INFO, "weights", "version-wanted",
               "model=%s version=%" PRIu64 " before=%" PRIu64 " named_ms_ago=%" PRIu64,
-              loader->model, version, newest, (now - named_at) / 1000);
+              loader->model, version, newest, (now - announced_at) / 1000);
     struct piece_store_callbacks callbacks = {loader, on_piece_held};
     struct piece_store *store =
         piece_store_create(&loader->cluster, loader->model, &loader->origin, version, &callbacks);
-    wanted_versions_add(&loader->versions, store, named_at, now);
+    wanted_versions_add(&loader->versions, store, announced_at, now);
 }
 
 /* Find out which version the engine should have, once all that takes is known. */
-static void consider_version(struct loader *loader)
+static void update_wanted_version(struct loader *loader)
 {
     if (!loader->table || !loader->has_origin || !loader->installer)
         return;
     uint64_t version = FIRST_VERSION;
-    uint64_t named_at = cluster_now();
+    uint64_t announced_at = cluster_now();
     const struct state_cache *state = loader->cluster.state;
     for (uint32_t i = 0; i < state_cache_count(state); i++) {
         char name[PLATFORM_TEXT_SIZE];
@@ -273,12 +276,12 @@
             continue;
         }
         version = named;
-        named_at = item->learned;
+        announced_at = item->learned;
     }
-    want_version(loader, version, named_at);
+    want_version(loader, version, announced_at);
 }
 
-static void take_configuration(struct loader *loader, const struct state_item *item)
+static void apply_configuration(struct loader *loader, const struct state_item *item)
 {
     struct findings findings = {0};
     struct route_table *table = platform_parse_configuration(item->value, item->size, &findings);
@@ -296,21 +299,21 @@
     loader->installer =
         installer_create(loader->cluster.loop, &loader->engine_address, loader->model);
     loader->versions.installer = loader->installer;
-    if (loader->earlier_heard_at)
-        installer_heard_of_predecessor(loader->installer, loader->earlier_heard_at,
-                                       loader->earlier_born);
+    if (loader->predecessor_heard_at)
+        installer_note_predecessor(loader->installer, loader->predecessor_heard_at,
+                                   loader->predecessor_engine_born);
 }
 
 /* It may come before the engine's model is known, and comes from each node that knows. */
 static void on_predecessor(void *context, uint64_t heard_at, uint64_t engine_born)
 {
     struct loader *loader = context;
-    if (heard_at <= loader->earlier_heard_at + SAME_TIME_US)
+    if (heard_at <= loader->predecessor_heard_at + PREDECESSOR_TIME_TOLERANCE_US)
         return;
-    loader->earlier_heard_at = heard_at;
-    loader->earlier_born = engine_born;
+    loader->predecessor_heard_at = heard_at;
+    loader->predecessor_engine_born = engine_born;
     if (loader->installer)
-        installer_heard_of_predecessor(loader->installer, heard_at, engine_born);
+        installer_note_predecessor(loader->installer, heard_at, engine_born);
 }
 
 static void on_item(void *context, const struct state_item *item)
@@ -321,9 +324,9 @@
     if (item->gone)
         return;
     if (kind == ITEM_CONFIGURATION)
-        take_configuration(loader, item);
+        apply_configuration(loader, item);
     /* Not at once: the other items of the same answer are still to come. */
-    loader->reconsider |= kind == ITEM_CONFIGURATION || kind == ITEM_VERSION;
+    loader->version_check_pending |= kind == ITEM_CONFIGURATION || kind == ITEM_VERSION;
 }
 
 /* --- peers ---------------------------------------------------------------------------------------
@@ -343,7 +346,7 @@
 {
     struct loader *loader = context;
     if (wake->pause_us > WAKE_LONG_US)
-        http_caller_abort(loader->engine);
+        http_caller_abort(loader->engine_caller);
 }
 
 /* --- process -------------------------------------------------------------------------------------
@@ -353,23 +356,24 @@
 {
     struct loader *loader = timer->data;
     uint64_t now = cluster_now();
-    if (!loader->asking && loader->model[0] && now >= loader->next_report) {
+    if (!loader->report_pending && loader->model[0] && now >= loader->next_report_at) {
         bool changes = loader->installer && installer_is_loading(loader->installer, now);
-        loader->next_report = now + (changes ? BUSY_TICK_MS : REPORT_INTERVAL_MS) * 1000;
-        ask_report(loader);
+        loader->next_report_at =
+            now + (changes ? BUSY_TICK_INTERVAL_MS : REPORT_INTERVAL_MS) * 1000;
+        request_report(loader);
     }
-    if (loader->reconsider) {
-        loader->reconsider = false;
-        consider_version(loader);
+    if (loader->version_check_pending) {
+        loader->version_check_pending = false;
+        update_wanted_version(loader);
     }
     struct engine_state engine = {loader->report.load.version, loader->reachable};
     bool fetching = wanted_versions_fetch(&loader->versions, &engine, now);
     if (loader->installer) {
         wanted_versions_install(&loader->versions, engine.version, now);
-        installer_tick(loader->installer, now, own_turn(loader));
+        installer_tick(loader->installer, now, scheduled_load_time(loader));
     }
     bool busy = fetching || (loader->installer && installer_is_busy(loader->installer, now));
-    uv_timer_start(timer, on_tick, busy ? BUSY_TICK_MS : REPORT_INTERVAL_MS, 0);
+    uv_timer_start(timer, on_tick, busy ? BUSY_TICK_INTERVAL_MS : REPORT_INTERVAL_MS, 0);
 }
 
 static void on_stop(struct process *process)
@@ -393,8 +397,8 @@
     }
     if (cluster_open(&loader->cluster, loop, settings, MEMBER_LOADER, &callbacks))
         return 1;
-    loader->engine = http_caller_create(loop, &loader->engine_address);
-    http_caller_on_lost(loader->engine, on_engine_lost, loader);
+    loader->engine_caller = http_caller_create(loop, &loader->engine_address);
+    http_caller_on_lost(loader->engine_caller, on_engine_connection_lost, loader);
     uv_timer_init(loop, &loader->timer);
     loader->timer.data = loader;
     uv_timer_start(&loader->timer, on_tick, 1, 0);
--- a/src/loader/piece_store.c
+++ b/src/loader/piece_store.c
@@ -11,18 +11,18 @@
 
 /** Connections to a relay. Two keep the link full: one call is on its way while the other one's
  *  piece comes. Each piece in flight delays the requests for the engine by its time on the link. */
-#define LANES_ALONE 3
-#define LANES_SHARED 2
-#define LANES_SLOW 1
+#define CONNECTIONS_EXCLUSIVE 3
+#define CONNECTIONS_SHARED 2
+#define CONNECTIONS_SLOW 1
 /** Share of the link's rate for pieces to others: the rest is for the answers of the engine. */
-#define UPLOAD_SHARE 0.3
+#define UPLOAD_LINK_FRACTION 0.3
 
 struct piece_store {
     struct piece_store_callbacks callbacks;
     struct piece_set *set;
     struct piece_fetch *fetch;
     struct piece_server *server;
-    enum link_use link_use;
+    enum link_sharing link_sharing;
     bool link_is_slow;
 };
 
@@ -47,7 +47,7 @@
     double link = strtod(cluster->settings->link_mbit, NULL);
     store->callbacks = *callbacks;
     store->set = piece_set_create(model, version);
-    store->server = piece_server_create(cluster->loop, store->set, UPLOAD_SHARE * link, 0);
+    store->server = piece_server_create(cluster->loop, store->set, UPLOAD_LINK_FRACTION * link, 0);
     store->fetch = piece_fetch_create(cluster, store->set, PIECE_ROLE_LOADER, &fetch_callbacks);
     piece_fetch_set_origin(store->fetch, origin);
     return store;
@@ -63,9 +63,9 @@
     free(store);
 }
 
-void piece_store_share_link(struct piece_store *store, enum link_use use)
+void piece_store_set_link_sharing(struct piece_store *store, enum link_sharing sharing)
 {
-    store->link_use = use;
+    store->link_sharing = sharing;
 }
 
 bool piece_store_link_is_slow(const struct piece_store *store)
@@ -73,7 +73,7 @@
     return store->link_is_slow;
 }
 
-void piece_store_hold_back(struct piece_store *store, bool held_back)
+void piece_store_pause_fetch(struct piece_store *store, bool held_back)
 {
     piece_fetch_hold_back(store->fetch, held_back);
 }
@@ -84,14 +84,15 @@
     return manifest && 2 * piece_set_held(store->set) >= manifest->count;
 }
 
-static uint32_t lanes_for(const struct piece_store *store)
+static uint32_t connections_per_source(const struct piece_store *store)
 {
-    if (store->link_use == LINK_ALONE)
-        return LANES_ALONE;
-    return store->link_is_slow || store->link_use == LINK_BEHIND ? LANES_SLOW : LANES_SHARED;
+    if (store->link_sharing == LINK_EXCLUSIVE)
+        return CONNECTIONS_EXCLUSIVE;
+    return store->link_is_slow || store->link_sharing == LINK_LOW_PRIORITY ? CONNECTIONS_SLOW
+                                                                           : CONNECTIONS_SHARED;
 }
 
-static void watch_link(struct piece_store *store)
+static void update_link_state(struct piece_store *store)
 {
     const struct link_rate *rate = piece_fetch_link(store->fetch);
     bool slow = link_rate_is_slow(rate);
@@ -100,17 +101,17 @@
                   "version=%" PRIu64 " mbit=%.2f nominal_mbit=%.2f", piece_set_version(store->set),
                   rate->estimated, rate->nominal);
     store->link_is_slow = slow;
-    piece_fetch_set_lanes(store->fetch, lanes_for(store));
+    piece_fetch_set_lanes(store->fetch, connections_per_source(store));
 }
 
-uint64_t piece_store_progress_at(const struct piece_store *store)
+uint64_t piece_store_last_piece_at(const struct piece_store *store)
 {
     return piece_fetch_progress_at(store->fetch);
 }
 
 void piece_store_tick(struct piece_store *store, uint64_t now)
 {
-    watch_link(store);
+    update_link_state(store);
     piece_fetch_tick(store->fetch, now);
     piece_server_tick(store->server, now);
 }
@@ -130,7 +131,7 @@
     return piece_set_data(store->set, piece, size);
 }
 
-bool piece_store_offer(struct piece_store *store, uint32_t piece, const void *bytes, size_t size)
+bool piece_store_add(struct piece_store *store, uint32_t piece, const void *bytes, size_t size)
 {
     uint32_t number;
     return piece_set_take(store->set, bytes, size, &number) == PIECE_NEW && number == piece;
--- a/src/loader/piece_store.h
+++ b/src/loader/piece_store.h
@@ -22,13 +22,13 @@
                                        const struct piece_store_callbacks *callbacks);
 void piece_store_destroy(struct piece_store *store);
 /** Who else needs the link while pieces are fetched. */
-enum link_use {
-    LINK_ALONE,       /**< nobody */
-    LINK_WITH_ENGINE, /**< the answers of the engine beside */
-    LINK_BEHIND,      /**< those, and another version that goes first */
+enum link_sharing {
+    LINK_EXCLUSIVE,          /**< nobody */
+    LINK_SHARED_WITH_ENGINE, /**< the answers of the engine beside */
+    LINK_LOW_PRIORITY,       /**< those, and another version that goes first */
 };
 
-void piece_store_share_link(struct piece_store *store, enum link_use use);
+void piece_store_set_link_sharing(struct piece_store *store, enum link_sharing sharing);
 void piece_store_tick(struct piece_store *store, uint64_t now);
 uint64_t piece_store_version(const struct piece_store *store);
 /** \return NULL before the manifest is known */
@@ -36,12 +36,12 @@
 /** \return NULL when not held */
 const uint8_t *piece_store_data(const struct piece_store *store, uint32_t piece, size_t *size);
 /** \brief A piece came from the engine's own stage. \return whether its digest is right */
-bool piece_store_offer(struct piece_store *store, uint32_t piece, const void *bytes, size_t size);
+bool piece_store_add(struct piece_store *store, uint32_t piece, const void *bytes, size_t size);
 bool piece_store_complete(const struct piece_store *store);
 /** \brief Fetch nothing for now: the engine's own stage is read first. */
-void piece_store_hold_back(struct piece_store *store, bool held_back);
+void piece_store_pause_fetch(struct piece_store *store, bool held_back);
 /** \return time of the last fetched piece, 0: none yet */
-uint64_t piece_store_progress_at(const struct piece_store *store);
+uint64_t piece_store_last_piece_at(const struct piece_store *store);
 /** \return whether transfers show a link much narrower than it should be */
 bool piece_store_link_is_slow(const struct piece_store *store);
 /** \return whether at least half of the pieces are held */
--- a/src/loader/wanted_versions.h
+++ b/src/loader/wanted_versions.h
@@ -10,19 +10,19 @@
 #include "loader/piece_store.h"
 
 /** Versions whose pieces are held: the one in use, one on its way and one named meanwhile. */
-#define VERSIONS_KEPT 3
+#define WANTED_VERSIONS_MAX 3
 
 struct wanted_version {
     uint64_t version;
-    uint64_t named_at;  /**< time at which it was named */
-    uint64_t wanted_at; /**< time at which this process heard of it */
+    uint64_t announced_at; /**< time at which it was named */
+    uint64_t wanted_at;    /**< time at which this process heard of it */
     struct piece_store *store;
-    bool recovered; /**< the engine's stage was read, or need not be */
+    bool recovery_done; /**< the engine's stage was read, or need not be */
 };
 
 /** All zero but for `installer`: none. */
 struct wanted_versions {
-    struct wanted_version list[VERSIONS_KEPT]; /**< rising */
+    struct wanted_version list[WANTED_VERSIONS_MAX]; /**< rising */
     uint32_t count;
     uint64_t installing; /**< version that the installer is at, 0: none */
     struct installer *installer;
@@ -39,17 +39,18 @@
 /** \brief Want a version that is newer than all others. \param store of its pieces, owned from now
  */
 void wanted_versions_add(struct wanted_versions *versions, struct piece_store *store,
-                         uint64_t named_at, uint64_t now);
+                         uint64_t announced_at, uint64_t now);
 /** \brief A piece was fetched into a store. */
-void wanted_versions_take_piece(struct wanted_versions *versions, const struct piece_store *store,
-                                uint32_t piece);
+void wanted_versions_on_piece(struct wanted_versions *versions, const struct piece_store *store,
+                              uint32_t piece);
 /** \brief Answer another node's call for pieces. \return whether a store of the version is here */
 bool wanted_versions_serve(struct wanted_versions *versions, struct service_call *call,
                            const struct piece_call *wanted);
 /** \return whether pieces came so slowly that the machine's link must be narrow */
 bool wanted_versions_link_is_slow(const struct wanted_versions *versions);
 /** \return time at which the oldest version that the engine lacks was named, 0: none */
-uint64_t wanted_versions_named_at(const struct wanted_versions *versions, uint64_t engine_version);
+uint64_t wanted_versions_announced_at(const struct wanted_versions *versions,
+                                      uint64_t engine_version);
 /** \brief Fetch what is missing. \return whether something is */
 bool wanted_versions_fetch(struct wanted_versions *versions, const struct engine_state *engine,
                            uint64_t now);
--- a/tests/core/weight_install_late_put_test.c
+++ b/tests/core/weight_install_late_put_test.c
@@ -8,50 +8,50 @@
 
 #include "weight_install_walk.h"
 
-static void a_first_put_of_an_earlier_process_that_comes_late_corrupts_nothing(void **state)
+static void delayed_first_put_of_a_previous_process_does_not_mix_versions(void **state)
 {
-    walk(&walked, WORLD_ENGINE_LEAVES, 79176);
+    check_walk(&walk_options, SIM_ENGINE_SHUTS_DOWN, 79176);
 }
 
 /* The walk shows what it is kept for: without the news of others it ends as it did. */
-static void without_the_news_of_others_it_does(void **state)
+static void delayed_first_put_mixes_versions_without_peer_reports(void **state)
 {
-    struct world world;
-    struct world_options options = walked;
-    options.mutation = WORLD_NOBODY_KNEW_THE_PREDECESSOR;
-    play_walk(&world, &options, WORLD_ENGINE_LEAVES, 79176);
-    assert_true(world.broken);
+    struct sim sim;
+    struct sim_options options = walk_options;
+    options.mutation = SIM_IGNORE_PEER_REPORTS;
+    run_walk(&sim, &options, SIM_ENGINE_SHUTS_DOWN, 79176);
+    assert_true(sim.violated);
 }
 
 /* A loader that starts anew while its engine has just started: nobody's put can be on its way to
  * it, and it does not stay empty for longer than that takes. */
-static void a_younger_engine_is_not_waited_for(void **state)
+static void engine_started_after_the_predecessor_report_is_ordered_at_once(void **state)
 {
-    static const struct world_options options = {.budget = {.ticks = 20, .names = 3}};
-    for (uint64_t told_born = 0; told_born <= 1; told_born++) {
-        struct world world;
-        world_begin(&world, &options);
-        world.named = 4;
-        world.engine = (struct install_engine){.born = 2};
-        memset(world.stage, 0, sizeof world.stage);
-        world.known_before = true;
-        world.heard_at = world.now;
-        world.told_born = told_born;
-        world_start_loader(&world, &options);
-        world_step(&world, &options, WORLD_REPORT_DELIVERED);
+    static const struct sim_options options = {.budget = {.ticks = 20, .announcements = 3}};
+    for (uint64_t reported_born = 0; reported_born <= 1; reported_born++) {
+        struct sim sim;
+        sim_init(&sim, &options);
+        sim.announced_version = 4;
+        sim.engine = (struct install_engine){.born = 2};
+        memset(sim.stage, 0, sizeof sim.stage);
+        sim.predecessor_known = true;
+        sim.heard_at = sim.now;
+        sim.reported_born = reported_born;
+        sim_start_loader(&sim, &options);
+        sim_step(&sim, &options, SIM_REPORT_DELIVERED);
         for (int i = 0; i < 20; i++)
-            world_step(&world, &options, WORLD_STAGE_ANSWERED);
+            sim_step(&sim, &options, SIM_STAGE_CALL_ANSWERED);
         /* It reported another start of the engine, or none: this one may have got its puts. */
-        assert_int_equal(world.order_call.kind, told_born ? INSTALL_ORDER : INSTALL_WAIT);
+        assert_int_equal(sim.order_call.kind, reported_born ? INSTALL_ORDER : INSTALL_NO_ACTION);
     }
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(without_the_news_of_others_it_does),
-        cmocka_unit_test(a_younger_engine_is_not_waited_for),
-        cmocka_unit_test(a_first_put_of_an_earlier_process_that_comes_late_corrupts_nothing),
+        cmocka_unit_test(delayed_first_put_mixes_versions_without_peer_reports),
+        cmocka_unit_test(engine_started_after_the_predecessor_report_is_ordered_at_once),
+        cmocka_unit_test(delayed_first_put_of_a_previous_process_does_not_mix_versions),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/weight_install_test.c
+++ b/tests/core/weight_install_test.c
@@ -11,28 +11,28 @@
 #include "base/memory.h"
 #include "core/random.h"
 #include "weight_install_walk.h"
-#include "weight_install_world_hash.h"
+#include "weight_install_sim_hash.h"
 
 #include <ck_ht.h>
 #include <stdio.h>
 #include <stdlib.h>
 
 /** Worlds that one exploration visits at the most. */
-#define WORLDS_MOST 400000U
-#define PATH_MOST 200
+#define STATES_MAX 400000U
+#define TRACE_LENGTH_MAX 200
 
 struct visit {
     uint32_t parent;
-    enum world_step step;
+    enum sim_step step;
 };
 
 struct exploration {
     struct visit *visits;
-    struct world *worlds;
+    struct sim *states;
     uint32_t count;
-    bool whole;      /* there is no further world */
-    uint32_t broken; /* visit at which weights were not whole, 0: none */
-    ck_ht_t seen;
+    bool exhausted;    /* there is no further world */
+    uint32_t violated; /* visit at which weights were not whole, 0: none */
+    ck_ht_t visited;
 };
 
 static void *table_allocate(size_t size)
@@ -54,292 +54,301 @@
     ck_ht_hash_t place;
     ck_ht_entry_t entry;
     uint64_t key = hash > 1 ? hash : 2; /* the table keeps the smallest keys for itself */
-    ck_ht_hash_direct(&place, &exploration->seen, key);
+    ck_ht_hash_direct(&place, &exploration->visited, key);
     ck_ht_entry_set_direct(&entry, place, key, 1);
-    return ck_ht_put_spmc(&exploration->seen, place, &entry);
+    return ck_ht_put_spmc(&exploration->visited, place, &entry);
 }
 
-static void add_world(struct exploration *exploration, const struct world *world, uint32_t parent,
-                      enum world_step step)
+static void add_state(struct exploration *exploration, const struct sim *sim, uint32_t parent,
+                      enum sim_step step)
 {
-    if (exploration->count == WORLDS_MOST) {
-        exploration->whole = false;
+    if (exploration->count == STATES_MAX) {
+        exploration->exhausted = false;
         return;
     }
     exploration->visits[exploration->count] = (struct visit){parent, step};
-    exploration->worlds[exploration->count] = *world;
-    world_adopt(&exploration->worlds[exploration->count]);
-    if (world->broken)
-        exploration->broken = exploration->count;
+    exploration->states[exploration->count] = *sim;
+    sim_rebind_pieces(&exploration->states[exploration->count]);
+    if (sim->violated)
+        exploration->violated = exploration->count;
     exploration->count++;
 }
 
-static void visit_world(struct exploration *exploration, const struct world_options *options,
-                        uint32_t index)
+static void expand_state(struct exploration *exploration, const struct sim_options *options,
+                         uint32_t index)
 {
-    for (int step = 0; step < WORLD_STEPS && !exploration->broken; step++) {
-        struct world world = exploration->worlds[index];
-        world_adopt(&world);
-        if (world_step(&world, options, (enum world_step)step) &&
-            is_new(exploration, world_hash(&world)))
-            add_world(exploration, &world, index, (enum world_step)step);
+    for (int step = 0; step < SIM_STEP_COUNT && !exploration->violated; step++) {
+        struct sim sim = exploration->states[index];
+        sim_rebind_pieces(&sim);
+        if (sim_step(&sim, options, (enum sim_step)step) && is_new(exploration, sim_hash(&sim)))
+            add_state(exploration, &sim, index, (enum sim_step)step);
     }
 }
 
-static void explore(struct exploration *exploration, const struct world_options *options)
+static void explore(struct exploration *exploration, const struct sim_options *options)
 {
-    struct world first;
-    *exploration = (struct exploration){.whole = true};
-    exploration->visits = memory_zero(WORLDS_MOST, sizeof *exploration->visits);
-    exploration->worlds = memory_zero(WORLDS_MOST, sizeof *exploration->worlds);
-    assert_true(ck_ht_init(&exploration->seen, CK_HT_MODE_DIRECT, NULL, &table_memory,
-                           2 * (uint64_t)WORLDS_MOST, 1));
-    world_begin(&first, options);
-    is_new(exploration, world_hash(&first));
-    add_world(exploration, &first, 0, WORLD_TIME_PASSES);
-    for (uint32_t i = 0; i < exploration->count && !exploration->broken; i++)
-        visit_world(exploration, options, i);
+    struct sim first;
+    *exploration = (struct exploration){.exhausted = true};
+    exploration->visits = memory_zero(STATES_MAX, sizeof *exploration->visits);
+    exploration->states = memory_zero(STATES_MAX, sizeof *exploration->states);
+    assert_true(ck_ht_init(&exploration->visited, CK_HT_MODE_DIRECT, NULL, &table_memory,
+                           2 * (uint64_t)STATES_MAX, 1));
+    sim_init(&first, options);
+    is_new(exploration, sim_hash(&first));
+    add_state(exploration, &first, 0, SIM_TIME_PASSES);
+    for (uint32_t i = 0; i < exploration->count && !exploration->violated; i++)
+        expand_state(exploration, options, i);
 }
 
 static void end_exploration(struct exploration *exploration)
 {
-    ck_ht_destroy(&exploration->seen);
+    ck_ht_destroy(&exploration->visited);
     free(exploration->visits);
-    free(exploration->worlds);
+    free(exploration->states);
 }
 
-static void print_path(const struct exploration *exploration)
+static void print_trace(const struct exploration *exploration)
 {
-    const char *names[PATH_MOST];
+    const char *announcements[TRACE_LENGTH_MAX];
     uint32_t count = 0;
-    for (uint32_t i = exploration->broken; i && count < PATH_MOST;
+    for (uint32_t i = exploration->violated; i && count < TRACE_LENGTH_MAX;
          i = exploration->visits[i].parent)
-        names[count++] = world_step_names[exploration->visits[i].step];
+        announcements[count++] = sim_step_names[exploration->visits[i].step];
     while (count--)
-        print_message("    %s\n", names[count]);
+        print_message("    %s\n", announcements[count]);
 }
 
 /* \return whether weights that were not whole entered the engine */
-static bool breaks(const char *what, const struct world_options *options)
+static bool violates_invariant(const char *what, const struct sim_options *options)
 {
     struct exploration exploration;
     explore(&exploration, options);
-    bool broken = exploration.broken != 0;
+    bool violated = exploration.violated != 0;
     print_message("%s: %u worlds%s, %s\n", what, exploration.count,
-                  exploration.whole || broken ? "" : " and more", broken ? "broken by" : "sound");
-    if (broken)
-        print_path(&exploration);
+                  exploration.exhausted || violated ? "" : " and more",
+                  violated ? "broken by" : "sound");
+    if (violated)
+        print_trace(&exploration);
     end_exploration(&exploration);
-    return broken;
+    return violated;
 }
 
-static const struct world_options unanswered_calls = {.budget = {.names = 2, .late = 2, .lost = 1}};
-static const struct world_options unanswered_in_time = {
-    .budget = {.ticks = 8, .names = 2, .late = 1}};
-static const struct world_options stale_reports = {.budget = {.names = 2, .late = 1, .lost = 1},
-                                                   .stale_reports = true};
-static const struct world_options restarted_loader = {
-    .budget = {.ticks = 7, .names = 2, .loader_restarts = 1}};
-static const struct world_options crashed_engine = {
-    .budget = {.ticks = 2, .names = 2, .late = 1, .engine_crashes = 1}};
-static const struct world_options replaced_engine = {
-    .budget = {.ticks = 2, .names = 2, .late = 1, .engine_replacements = 1}};
-static const struct world_options engine_starts_again = {
-    .budget = {.ticks = 2, .names = 2, .late = 1, .new_starts = 2}};
-static const struct world_options leaving_engine = {
-    .budget = {.ticks = 2, .names = 2, .late = 1, .new_starts = 1, .leavings = 1}};
-static const struct world_options lost_power = {
-    .budget = {.ticks = 2, .names = 2, .late = 1, .power_losses = 1}};
-static const struct world_options bad_pieces = {
-    .budget = {.ticks = 12, .names = 1, .late = 1, .bad_pieces = 1}, .prompt = true};
-static const struct world_options busy_engine = {
-    .budget = {.ticks = 12, .names = 1, .late = 1, .bad_pieces = 1}, .prompt = true, .busy = true};
-
-static void calls_without_an_answer_corrupt_nothing(void **state)
+static const struct sim_options unanswered_calls = {
+    .budget = {.announcements = 2, .delayed = 2, .lost = 1}};
+static const struct sim_options unanswered_calls_over_time = {
+    .budget = {.ticks = 8, .announcements = 2, .delayed = 1}};
+static const struct sim_options stale_reports = {
+    .budget = {.announcements = 2, .delayed = 1, .lost = 1}, .stale_reports = true};
+static const struct sim_options loader_restart = {
+    .budget = {.ticks = 7, .announcements = 2, .loader_restarts = 1}};
+static const struct sim_options engine_crash = {
+    .budget = {.ticks = 2, .announcements = 2, .delayed = 1, .engine_crashes = 1}};
+static const struct sim_options engine_replacement = {
+    .budget = {.ticks = 2, .announcements = 2, .delayed = 1, .engine_replacements = 1}};
+static const struct sim_options engine_restarts_unnoticed = {
+    .budget = {.ticks = 2, .announcements = 2, .delayed = 1, .unnoticed_restarts = 2}};
+static const struct sim_options engine_shutdown = {.budget = {.ticks = 2,
+                                                              .announcements = 2,
+                                                              .delayed = 1,
+                                                              .unnoticed_restarts = 1,
+                                                              .engine_shutdowns = 1}};
+static const struct sim_options power_loss = {
+    .budget = {.ticks = 2, .announcements = 2, .delayed = 1, .power_losses = 1}};
+static const struct sim_options corrupted_pieces = {
+    .budget = {.ticks = 12, .announcements = 1, .delayed = 1, .corrupted_pieces = 1},
+    .prompt_stage_calls = true};
+static const struct sim_options busy_engine = {
+    .budget = {.ticks = 12, .announcements = 1, .delayed = 1, .corrupted_pieces = 1},
+    .prompt_stage_calls = true,
+    .engine_busy = true};
+
+static void unanswered_calls_do_not_mix_versions(void **state)
 {
-    assert_false(breaks("unanswered calls", &unanswered_calls));
-    assert_false(breaks("unanswered calls while time passes", &unanswered_in_time));
-    assert_false(breaks("unanswered calls and stale reports", &stale_reports));
+    assert_false(violates_invariant("unanswered calls", &unanswered_calls));
+    assert_false(
+        violates_invariant("unanswered calls while time passes", &unanswered_calls_over_time));
+    assert_false(violates_invariant("unanswered calls and stale reports", &stale_reports));
 }
 
-static void a_restarted_loader_corrupts_nothing(void **state)
+static void loader_restart_does_not_mix_versions(void **state)
 {
-    assert_false(breaks("restarted loader", &restarted_loader));
+    assert_false(violates_invariant("restarted loader", &loader_restart));
 }
 
-static void a_crashed_engine_gets_whole_weights(void **state)
+static void crashed_engine_loads_only_valid_weights(void **state)
 {
-    assert_false(breaks("crashed engine", &crashed_engine));
+    assert_false(violates_invariant("crashed engine", &engine_crash));
 }
 
-static void an_engine_in_place_of_another_gets_whole_weights(void **state)
+static void replaced_engine_loads_only_valid_weights(void **state)
 {
-    assert_false(breaks("replaced engine", &replaced_engine));
+    assert_false(violates_invariant("replaced engine", &engine_replacement));
 }
 
-static void an_engine_that_starts_again_under_its_id_gets_whole_weights(void **state)
+static void unnoticed_engine_restart_loads_only_valid_weights(void **state)
 {
-    assert_false(breaks("engine starts again", &engine_starts_again));
+    assert_false(violates_invariant("engine starts again", &engine_restarts_unnoticed));
 }
 
-static void an_engine_that_leaves_gets_no_order(void **state)
+static void engine_shutting_down_gets_no_order(void **state)
 {
-    assert_false(breaks("leaving engine", &leaving_engine));
+    assert_false(violates_invariant("leaving engine", &engine_shutdown));
 }
 
-static void a_loss_of_power_corrupts_nothing(void **state)
+static void power_loss_does_not_mix_versions(void **state)
 {
-    assert_false(breaks("lost power", &lost_power));
+    assert_false(violates_invariant("lost power", &power_loss));
 }
 
-static void a_piece_that_turned_bad_is_not_taken(void **state)
+static void corrupted_piece_is_not_loaded(void **state)
 {
-    assert_false(breaks("bad pieces", &bad_pieces));
-    assert_false(breaks("bad pieces at a busy engine", &busy_engine));
+    assert_false(violates_invariant("bad pieces", &corrupted_pieces));
+    assert_false(violates_invariant("bad pieces at a busy engine", &busy_engine));
 }
 
-static void answer_stage_calls(struct world *world, const struct world_options *options)
+static void answer_stage_calls(struct sim *sim, const struct sim_options *options)
 {
-    while (world->stage_call.kind != INSTALL_WAIT)
-        world_step(world, options, WORLD_STAGE_ANSWERED);
+    while (sim->stage_call.kind != INSTALL_NO_ACTION)
+        sim_step(sim, options, SIM_STAGE_CALL_ANSWERED);
 }
 
 /* It finishes its requests first; nothing is gained by an order that comes when it is empty. */
-static void an_engine_with_requests_is_ordered_at_its_turn(void **state)
+static void engine_with_requests_is_ordered_at_its_scheduled_time(void **state)
 {
-    struct world world;
-    world_begin(&world, &busy_engine);
-    world_step(&world, &busy_engine, WORLD_VERSION_NAMED);
-    answer_stage_calls(&world, &busy_engine);
-    assert_int_equal(world.install.engine.requests, 1);
-    assert_int_equal(world.order_call.kind, INSTALL_ORDER);
+    struct sim sim;
+    sim_init(&sim, &busy_engine);
+    sim_step(&sim, &busy_engine, SIM_VERSION_ANNOUNCED);
+    answer_stage_calls(&sim, &busy_engine);
+    assert_int_equal(sim.install.engine.requests, 1);
+    assert_int_equal(sim.order_call.kind, INSTALL_ORDER);
 }
 
 /* What is put there now is lost with its end. */
-static void an_engine_that_leaves_gets_no_new_weights(void **state)
+static void engine_shutting_down_gets_no_new_pieces(void **state)
 {
-    struct world world;
-    world_begin(&world, &leaving_engine);
-    world_step(&world, &leaving_engine, WORLD_ENGINE_LEAVES);
-    world_step(&world, &leaving_engine, WORLD_REPORT_DELIVERED);
-    world_step(&world, &leaving_engine, WORLD_VERSION_NAMED);
-    assert_int_equal(world.stage_call.kind, INSTALL_WAIT);
-    assert_false(weight_install_is_busy(&world.install, world.now));
-    world_step(&world, &leaving_engine, WORLD_ENGINE_STARTS_AGAIN);
-    assert_int_equal(world.stage_call.kind, INSTALL_PUT);
+    struct sim sim;
+    sim_init(&sim, &engine_shutdown);
+    sim_step(&sim, &engine_shutdown, SIM_ENGINE_SHUTS_DOWN);
+    sim_step(&sim, &engine_shutdown, SIM_REPORT_DELIVERED);
+    sim_step(&sim, &engine_shutdown, SIM_VERSION_ANNOUNCED);
+    assert_int_equal(sim.stage_call.kind, INSTALL_NO_ACTION);
+    assert_false(weight_install_is_busy(&sim.install, sim.now));
+    sim_step(&sim, &engine_shutdown, SIM_ENGINE_RESTARTS_UNNOTICED);
+    assert_int_equal(sim.stage_call.kind, INSTALL_PUT);
 }
 
 /* The engine may take an order that got no answer, and then takes what lies there. */
-static void an_engine_that_leaves_keeps_a_whole_stage_while_an_order_may_be_taken(void **state)
+static void engine_shutting_down_keeps_a_verified_stage_while_an_order_is_in_doubt(void **state)
 {
-    struct world world;
-    world_begin(&world, &leaving_engine);
-    world_step(&world, &leaving_engine, WORLD_VERSION_NAMED);
-    answer_stage_calls(&world, &leaving_engine);
-    assert_true(world_step(&world, &leaving_engine, WORLD_ORDER_LATE));
-    world_step(&world, &leaving_engine, WORLD_ENGINE_LEAVES);
-    world_step(&world, &leaving_engine, WORLD_REPORT_DELIVERED);
-    world_step(&world, &leaving_engine, WORLD_TIME_PASSES);
-    assert_int_equal(world.stage_call.kind, INSTALL_READ);
+    struct sim sim;
+    sim_init(&sim, &engine_shutdown);
+    sim_step(&sim, &engine_shutdown, SIM_VERSION_ANNOUNCED);
+    answer_stage_calls(&sim, &engine_shutdown);
+    assert_true(sim_step(&sim, &engine_shutdown, SIM_ORDER_DELAYED));
+    sim_step(&sim, &engine_shutdown, SIM_ENGINE_SHUTS_DOWN);
+    sim_step(&sim, &engine_shutdown, SIM_REPORT_DELIVERED);
+    sim_step(&sim, &engine_shutdown, SIM_TIME_PASSES);
+    assert_int_equal(sim.stage_call.kind, INSTALL_READ);
 }
 
 /* A loss of power empties stages, and all loaders are new: a piece that turns bad then is put again
  * at once. */
-static void a_new_process_puts_a_piece_of_its_own_again_that_turned_bad(void **state)
+static void new_process_replaces_its_own_corrupted_piece(void **state)
 {
-    static const struct world_options options = {
-        .budget = {.names = 2, .power_losses = 1, .bad_pieces = 1}};
-    struct world world;
-    world_begin(&world, &options);
-    world_step(&world, &options, WORLD_VERSION_NAMED);
-    world_step(&world, &options, WORLD_VERSION_NAMED);
-    world_step(&world, &options, WORLD_POWER_LOST);
-    world_step(&world, &options, WORLD_REPORT_DELIVERED);
-    while (!world.stage[0])
-        assert_true(world_step(&world, &options, WORLD_STAGE_ANSWERED));
-    assert_true(world_step(&world, &options, WORLD_FIRST_PIECE_TURNS_BAD));
-    while (world.order_call.kind == INSTALL_WAIT)
-        assert_true(world_step(&world, &options, WORLD_STAGE_ANSWERED));
-    assert_false(world.bad_since[0]);
+    static const struct sim_options options = {
+        .budget = {.announcements = 2, .power_losses = 1, .corrupted_pieces = 1}};
+    struct sim sim;
+    sim_init(&sim, &options);
+    sim_step(&sim, &options, SIM_VERSION_ANNOUNCED);
+    sim_step(&sim, &options, SIM_VERSION_ANNOUNCED);
+    sim_step(&sim, &options, SIM_POWER_LOST);
+    sim_step(&sim, &options, SIM_REPORT_DELIVERED);
+    while (!sim.stage[0])
+        assert_true(sim_step(&sim, &options, SIM_STAGE_CALL_ANSWERED));
+    assert_true(sim_step(&sim, &options, SIM_FIRST_PIECE_CORRUPTED));
+    while (sim.order_call.kind == INSTALL_NO_ACTION)
+        assert_true(sim_step(&sim, &options, SIM_STAGE_CALL_ANSWERED));
+    assert_false(sim.corrupted_since[0]);
 }
 
-static bool breaks_without(const char *what, const struct world_options *options,
-                           enum world_mutation mutation)
+static bool violates_invariant_with(const char *what, const struct sim_options *options,
+                                    enum sim_mutation mutation)
 {
-    struct world_options mutated = *options;
+    struct sim_options mutated = *options;
     mutated.mutation = mutation;
-    return breaks(what, &mutated);
+    return violates_invariant(what, &mutated);
 }
 
-static void each_rule_left_out_is_noticed(void **state)
+static void each_omitted_rule_is_detected(void **state)
 {
-    assert_true(breaks_without("an unanswered order counts as over", &unanswered_calls,
-                               WORLD_UNANSWERED_ORDER_IS_OVER));
-    assert_true(breaks_without("an unanswered put counts as over", &unanswered_calls,
-                               WORLD_UNANSWERED_PUT_IS_OVER));
-    assert_true(breaks_without("earlier processes left nothing", &restarted_loader,
-                               WORLD_PREDECESSOR_LEFT_NOTHING));
-    assert_true(breaks_without("pieces are read back once", &bad_pieces, WORLD_READ_ONCE));
-    assert_true(breaks_without("starts of an engine look alike", &engine_starts_again,
-                               WORLD_STARTS_LOOK_ALIKE));
-    assert_true(breaks_without("readings outlive the engine", &replaced_engine,
-                               WORLD_READINGS_OUTLIVE_ENGINES));
+    assert_true(violates_invariant_with("an unanswered order counts as over", &unanswered_calls,
+                                        SIM_UNANSWERED_ORDER_IS_OVER));
+    assert_true(violates_invariant_with("an unanswered put counts as over", &unanswered_calls,
+                                        SIM_UNANSWERED_PUT_IS_OVER));
+    assert_true(violates_invariant_with("earlier processes left nothing", &loader_restart,
+                                        SIM_IGNORE_PREDECESSOR));
+    assert_true(
+        violates_invariant_with("pieces are read back once", &corrupted_pieces, SIM_VERIFY_ONCE));
+    assert_true(violates_invariant_with("starts of an engine look alike",
+                                        &engine_restarts_unnoticed, SIM_IDENTICAL_ENGINE_STARTS));
+    assert_true(violates_invariant_with("readings outlive the engine", &engine_replacement,
+                                        SIM_VERIFICATION_OUTLIVES_ENGINE));
 }
 
 /* --- random walks, beyond what can be visited whole ----------------------------------------------
  */
 
 /* SHUNTRUN_WALKS sets another number of walks than the short one of a usual run. */
-static void walk_seeds(const struct world_options *options, uint64_t steps)
+static void check_walks(const struct sim_options *options, uint64_t steps)
 {
     const char *walks = getenv("SHUNTRUN_WALKS");
     uint64_t count = walks ? strtoull(walks, NULL, 10) : 5000;
     for (uint64_t seed = 1; seed <= count; seed++)
-        walk(options, steps, seed);
+        check_walk(options, steps, seed);
     print_message("%llu walks\n", (unsigned long long)count);
 }
 
-static void walks_end_with_the_newest_version_whole(void **state)
+static void random_walks_end_with_the_newest_version(void **state)
 {
-    walk_seeds(&walked, WORLD_ENGINE_LEAVES);
+    check_walks(&walk_options, SIM_ENGINE_SHUTS_DOWN);
 }
 
 /* The next start of an engine that left gets the newest version, whole. */
-static void walks_with_engines_that_leave_end_so_too(void **state)
+static void random_walks_with_engine_shutdowns_end_with_the_newest_version(void **state)
 {
-    struct world_options leaving = walked;
-    leaving.budget.leavings = 1;
-    walk_seeds(&leaving, WORLD_STEPS);
+    struct sim_options options = walk_options;
+    options.budget.engine_shutdowns = 1;
+    check_walks(&options, SIM_STEP_COUNT);
 }
 
 /* A loader restarted while it filled a stage in part, and two newer versions were named: its last
  * put came after the next process had read all pieces back. */
-static void a_put_of_an_earlier_process_that_comes_late_corrupts_nothing(void **state)
+static void delayed_put_of_a_previous_process_does_not_mix_versions(void **state)
 {
-    struct world_options leaving = walked;
-    leaving.budget.leavings = 1;
-    walk(&leaving, WORLD_STEPS, 47161);
+    struct sim_options options = walk_options;
+    options.budget.engine_shutdowns = 1;
+    check_walk(&options, SIM_STEP_COUNT, 47161);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(calls_without_an_answer_corrupt_nothing),
-        cmocka_unit_test(a_restarted_loader_corrupts_nothing),
-        cmocka_unit_test(a_crashed_engine_gets_whole_weights),
-        cmocka_unit_test(an_engine_in_place_of_another_gets_whole_weights),
-        cmocka_unit_test(an_engine_that_starts_again_under_its_id_gets_whole_weights),
-        cmocka_unit_test(an_engine_that_leaves_gets_no_order),
-        cmocka_unit_test(an_engine_that_leaves_gets_no_new_weights),
-        cmocka_unit_test(an_engine_that_leaves_keeps_a_whole_stage_while_an_order_may_be_taken),
-        cmocka_unit_test(a_loss_of_power_corrupts_nothing),
-        cmocka_unit_test(a_piece_that_turned_bad_is_not_taken),
-        cmocka_unit_test(an_engine_with_requests_is_ordered_at_its_turn),
-        cmocka_unit_test(a_new_process_puts_a_piece_of_its_own_again_that_turned_bad),
-        cmocka_unit_test(each_rule_left_out_is_noticed),
-        cmocka_unit_test(walks_end_with_the_newest_version_whole),
-        cmocka_unit_test(walks_with_engines_that_leave_end_so_too),
-        cmocka_unit_test(a_put_of_an_earlier_process_that_comes_late_corrupts_nothing),
+        cmocka_unit_test(unanswered_calls_do_not_mix_versions),
+        cmocka_unit_test(loader_restart_does_not_mix_versions),
+        cmocka_unit_test(crashed_engine_loads_only_valid_weights),
+        cmocka_unit_test(replaced_engine_loads_only_valid_weights),
+        cmocka_unit_test(unnoticed_engine_restart_loads_only_valid_weights),
+        cmocka_unit_test(engine_shutting_down_gets_no_order),
+        cmocka_unit_test(engine_shutting_down_gets_no_new_pieces),
+        cmocka_unit_test(engine_shutting_down_keeps_a_verified_stage_while_an_order_is_in_doubt),
+        cmocka_unit_test(power_loss_does_not_mix_versions),
+        cmocka_unit_test(corrupted_piece_is_not_loaded),
+        cmocka_unit_test(engine_with_requests_is_ordered_at_its_scheduled_time),
+        cmocka_unit_test(new_process_replaces_its_own_corrupted_piece),
+        cmocka_unit_test(each_omitted_rule_is_detected),
+        cmocka_unit_test(random_walks_end_with_the_newest_version),
+        cmocka_unit_test(random_walks_with_engine_shutdowns_end_with_the_newest_version),
+        cmocka_unit_test(delayed_put_of_a_previous_process_does_not_mix_versions),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/weight_install_walk.h
+++ b/tests/core/weight_install_walk.h
@@ -1,5 +1,5 @@
 /**
- * Random walks through the worlds of weight_install_world.h, followed by calm, at the end of which
+ * Random walks through the worlds of weight_install_sim.h, followed by calm, at the end of which
  * the engine has to have the newest version, whole.
  */
 #ifndef SHUNTRUN_WEIGHT_INSTALL_WALK_H
@@ -7,65 +7,67 @@
 
 #include "core/random.h"
 #include "testing.h"
-#include "weight_install_world.h"
+#include "weight_install_sim.h"
 
 #define WALK_STEPS 300
 /** Steps within which an engine without further failures has the newest version: all calls in doubt
  *  live for 6 units of time, and each unit takes some dozen steps. */
-#define CALM_ROUNDS 60
+#define FAILURE_FREE_ROUNDS_MAX 60
 
-static const struct world_options walked = {.budget = {.ticks = 60,
-                                                       .names = 6,
-                                                       .late = 6,
-                                                       .lost = 6,
-                                                       .loader_restarts = 2,
-                                                       .engine_crashes = 2,
-                                                       .engine_replacements = 1,
-                                                       .new_starts = 2,
-                                                       .power_losses = 1,
-                                                       .bad_pieces = 2},
-                                            .prompt = true,
-                                            .stale_reports = true};
+static const struct sim_options walk_options = {.budget = {.ticks = 60,
+                                                           .announcements = 6,
+                                                           .delayed = 6,
+                                                           .lost = 6,
+                                                           .loader_restarts = 2,
+                                                           .engine_crashes = 2,
+                                                           .engine_replacements = 1,
+                                                           .unnoticed_restarts = 2,
+                                                           .power_losses = 1,
+                                                           .corrupted_pieces = 2},
+                                                .prompt_stage_calls = true,
+                                                .stale_reports = true};
 
 /* What is under way is answered, reports come, time passes; an engine that leaves has ended. */
-static void stay_calm(struct world *world, const struct world_options *options)
+static void run_failure_free_round(struct sim *sim, const struct sim_options *options)
 {
-    if (world->engine.leaving) {
-        world->left.new_starts = 1;
-        world_step(world, options, WORLD_ENGINE_STARTS_AGAIN);
+    if (sim->engine.leaving) {
+        sim->budget_left.unnoticed_restarts = 1;
+        sim_step(sim, options, SIM_ENGINE_RESTARTS_UNNOTICED);
     }
-    static const enum world_step steps[] = {WORLD_STAGE_ANSWERED, WORLD_ORDER_ANSWERED,
-                                            WORLD_WEIGHTS_LOADED, WORLD_REPORT_READ,
-                                            WORLD_REPORT_DELIVERED};
-    for (int repeats = 0; repeats < 2 * WORLD_PIECES + 2; repeats++)
+    static const enum sim_step steps[] = {SIM_STAGE_CALL_ANSWERED, SIM_ORDER_ANSWERED,
+                                          SIM_WEIGHTS_LOADED, SIM_REPORT_SENT,
+                                          SIM_REPORT_DELIVERED};
+    for (int repeats = 0; repeats < 2 * SIM_PIECES + 2; repeats++)
         for (size_t i = 0; i < sizeof steps / sizeof *steps; i++)
-            world_step(world, options, steps[i]);
-    world->left.ticks = 1;
-    world_step(world, options, WORLD_TIME_PASSES);
+            sim_step(sim, options, steps[i]);
+    sim->budget_left.ticks = 1;
+    sim_step(sim, options, SIM_TIME_PASSES);
 }
 
-/* \param steps those that may come are the first ones of enum world_step */
-static void play_walk(struct world *world, const struct world_options *options, uint64_t steps,
-                      uint64_t seed)
+/* \param steps those that may come are the first ones of enum sim_step */
+static void run_walk(struct sim *sim, const struct sim_options *options, uint64_t steps,
+                     uint64_t seed)
 {
     struct random_stream random = {.seed = seed};
-    world_begin(world, options);
-    for (int i = 0; i < WALK_STEPS && !world->broken; i++)
-        world_step(world, options, (enum world_step)random_below(&random, steps));
-    for (int i = 0; i < CALM_ROUNDS && world->engine.version < world->named && !world->broken; i++)
-        stay_calm(world, options);
+    sim_init(sim, options);
+    for (int i = 0; i < WALK_STEPS && !sim->violated; i++)
+        sim_step(sim, options, (enum sim_step)random_below(&random, steps));
+    for (int i = 0; i < FAILURE_FREE_ROUNDS_MAX && sim->engine.version < sim->announced_version &&
+                    !sim->violated;
+         i++)
+        run_failure_free_round(sim, options);
 }
 
-static void walk(const struct world_options *options, uint64_t steps, uint64_t seed)
+static void check_walk(const struct sim_options *options, uint64_t steps, uint64_t seed)
 {
-    struct world world;
-    play_walk(&world, options, steps, seed);
-    if (world.broken || world.engine.version != world.named)
+    struct sim sim;
+    run_walk(&sim, options, steps, seed);
+    if (sim.violated || sim.engine.version != sim.announced_version)
         print_message("seed %llu: %s, version %llu of %llu\n", (unsigned long long)seed,
-                      world.broken ? "not whole" : "whole",
-                      (unsigned long long)world.engine.version, (unsigned long long)world.named);
-    assert_false(world.broken);
-    assert_int_equal(world.engine.version, world.named);
+                      sim.violated ? "not whole" : "whole", (unsigned long long)sim.engine.version,
+                      (unsigned long long)sim.announced_version);
+    assert_false(sim.violated);
+    assert_int_equal(sim.engine.version, sim.announced_version);
 }
 
 #endif
