--- a/src/core/weight_install.c
+++ b/src/core/weight_install.c
@@ -10,8 +10,7 @@
                                        .predecessor_until = now + settings->call_lifetime_us};
 }
 
-/* --- what may still act at the engine ------------------------------------------------------------
- */
+/* --- calls that may still take effect --------------------------------------------------------- */
 
 static bool order_is_in_doubt(const struct weight_install *install, uint64_t now)
 {
@@ -19,16 +18,17 @@
            install->engine.sequence <= install->in_doubt_order_sequence;
 }
 
-/* An earlier process can have ordered only versions above the engine's, and none above this one. If
- * this one follows the engine's directly, there is no other, and its own pieces spoil nothing. */
+/* A previous process can have ordered only versions newer than the engine's and not newer than this
+ * one. If this version directly follows the engine's, there is no other such version, and pieces of
+ * this version do no harm. */
 static bool predecessor_is_in_doubt(const struct weight_install *install, uint64_t now)
 {
     return (install->predecessor_may_order || install->predecessor_may_put) &&
            now < install->predecessor_until && install->version > install->engine.version + 1;
 }
 
-/* Only at the engine's start that the earlier process knew: its connections to others have ended.
- * It can have put only versions above the engine's, and none above this one. */
+/* Only at the engine start that the previous process reported: its connections to other starts have
+ * ended. It can have put only versions newer than the engine's and not newer than this one. */
 static bool known_predecessor_may_put(const struct weight_install *install)
 {
     bool same_start = !install->known_predecessor_born || !install->engine.born ||
@@ -85,8 +85,7 @@
     install->held_count++;
 }
 
-/* --- the engine's reports ------------------------------------------------------------------------
- */
+/* --- engine reports --------------------------------------------------------------------------- */
 
 static void clear_verification(struct weight_install *install)
 {
@@ -96,8 +95,8 @@
 
 static void update_order_state(struct weight_install *install, uint64_t now)
 {
-    bool taken = install->engine.sequence != install->order_sequence;
-    if (install->order == ORDER_ANSWERED && (taken || now >= install->order_effect_deadline))
+    bool accepted = install->engine.sequence != install->order_sequence;
+    if (install->order == ORDER_ANSWERED && (accepted || now >= install->order_effect_deadline))
         install->order = ORDER_NONE;
 }
 
@@ -112,14 +111,14 @@
                            uint64_t now)
 {
     bool emptied = install->engine.version && !engine->version && !engine->loading;
-    /* One that starts again may look like before: no weights, no order taken, but an empty stage.
-     */
+    /* A restarted engine may report the same as before: no weights and no order accepted. Its
+     * staging area is empty all the same, which only `born` shows. */
     bool other = engine->born != install->engine.born;
     bool restarted =
         install->reported && (engine->sequence < install->engine.sequence || emptied || other);
     if (!install->reported)
         install->predecessor_sequence = engine->sequence;
-    /* Another engine may stand at the address since the last report, with an empty stage. */
+    /* Another engine, with an empty staging area, may have replaced it since the last report. */
     if (restarted || !install->reachable)
         clear_verification(install);
     install->reported = true;
@@ -135,8 +134,7 @@
     install->reachable = false;
 }
 
-/* --- the stage -----------------------------------------------------------------------------------
- */
+/* --- staging area ----------------------------------------------------------------------------- */
 
 void weight_install_stage_done(struct weight_install *install, enum install_result result,
                                uint64_t now)
@@ -147,9 +145,9 @@
     if (put && result == INSTALL_NO_ANSWER)
         install->in_doubt_put_until = now + install->settings.call_lifetime_us;
     if (!put && result == INSTALL_MISSING)
-        install->predecessor_may_order = false; /* it orders only what lies there whole */
+        install->predecessor_may_order = false; /* it orders only complete versions */
     if (!put && result == INSTALL_REFUSED && !piece->staged)
-        install->predecessor_may_put = true; /* what this process staged may have turned bad */
+        install->predecessor_may_put = true; /* a staged piece may be corrupted instead */
     if (result == INSTALL_DONE) {
         piece->staged = true;
         piece->mismatched = false;
@@ -161,8 +159,8 @@
     }
 }
 
-/* While nothing is known of an earlier process's calls, what lies there is read before it is
- * written. */
+/* While an order of a previous process may be in doubt, a piece is read before it is overwritten:
+ * it may belong to the ordered version. */
 static bool find_unstaged(const struct weight_install *install, uint64_t now,
                           struct install_action *action)
 {
@@ -181,7 +179,7 @@
     return false;
 }
 
-/* \return the piece whose last reading is the oldest */
+/* \return the piece whose read-back is the oldest, or that was not read back */
 static uint32_t least_recently_verified(const struct weight_install *install)
 {
     uint32_t oldest = 0;
@@ -211,7 +209,7 @@
     return weight_install_verified_at(install) > 0;
 }
 
-/* An order is near, under way, or may still be taken. */
+/* An order is due within one re-read interval, under way or in doubt. */
 static bool order_is_imminent(const struct weight_install *install, uint64_t now,
                               uint64_t scheduled_at)
 {
@@ -219,7 +217,7 @@
            now + install->settings.reread_interval_us >= scheduled_at;
 }
 
-/* A put of an earlier process may come between a reading and the order. */
+/* A put of a previous process may arrive between the read-back and the order. */
 static bool may_be_overwritten(const struct weight_install *install, uint64_t verified_at)
 {
     return known_predecessor_may_put(install) && verified_at < install->known_predecessor_until;
@@ -229,7 +227,7 @@
                              uint64_t scheduled_at, struct install_action *action)
 {
     if (install->engine.loading || !all_staged(install))
-        return false; /* what is being loaded was taken already */
+        return false; /* the engine has already read the staging area */
     uint32_t piece = least_recently_verified(install);
     uint64_t verified_at = install->pieces[piece].verified_at;
     bool stale =
@@ -241,8 +239,7 @@
     return true;
 }
 
-/* --- the order -----------------------------------------------------------------------------------
- */
+/* --- load order ------------------------------------------------------------------------------- */
 
 bool weight_install_is_complete(const struct weight_install *install)
 {
@@ -251,9 +248,9 @@
 
 static bool may_order(const struct weight_install *install, uint64_t now, uint64_t scheduled_at)
 {
-    bool begun = install->ordered_at != 0; /* its turn may have moved since */
+    bool ordered_before = install->ordered_at != 0; /* the schedule may have moved since */
     if (!install->reachable || install->order != ORDER_NONE || install->engine.loading ||
-        install->engine.leaving || (!begun && now < scheduled_at) ||
+        install->engine.leaving || (!ordered_before && now < scheduled_at) ||
         now < install->order_backoff_until)
         return false;
     uint64_t verified_at = weight_install_verified_at(install);
@@ -285,12 +282,12 @@
     update_order_state(install, now);
 }
 
-/* What is put into an engine that is about to end is lost with it, and it runs nothing new. But as
- * long as it may take an order that was given, its stage is kept right, report or not. */
+/* An engine that is shutting down gets no new weights: they would be lost with it. But while it may
+ * still accept an order, its staging area is kept verified, even if it gives no reports. */
 static bool is_suspended(const struct weight_install *install, uint64_t now)
 {
-    bool may_be_taken = install->order != ORDER_NONE || order_is_in_doubt(install, now);
-    return !may_be_taken && (!install->reachable || install->engine.leaving);
+    bool order_may_act = install->order != ORDER_NONE || order_is_in_doubt(install, now);
+    return !order_may_act && (!install->reachable || install->engine.leaving);
 }
 
 struct install_action weight_install_next(struct weight_install *install, uint64_t now,
--- a/src/loader/installer.c
+++ b/src/loader/installer.c
@@ -11,20 +11,20 @@
 #include <string.h>
 
 #define STAGE_TIMEOUT_MS 2000
-/** An order without an answer is given again after this; the engine takes no requests meanwhile. */
+/** An order without an answer is retried after this; the engine accepts no requests meanwhile. */
 #define ORDER_TIMEOUT_MS 600
 #define ANSWER_BODY_LIMIT_BYTES (8U << 20)
 
 static const struct weight_install_settings install_settings = {
-    /** Half of the 3 s in which a piece may turn bad unseen: the rest is the order's way. */
+    /** Half of the 3 s for which a corrupted piece may go undetected; the rest is for the order to
+     *  reach the engine. */
     .verification_valid_us = 1500000,
-    /** A third of `verification_valid_us`, so that a reading of all pieces may take the other two
-       thirds. */
+    /** A third of `verification_valid_us`: reading all pieces may take the other two thirds. */
     .reread_interval_us = 500000,
-    /** An engine may handle an order or a put so long after its caller gave it up. */
+    /** An engine may handle an order or a put this long after its caller gave it up. */
     .call_lifetime_us = 12000000,
     .order_effect_timeout_us = 1500000,
-    /** An engine's report is some 60 ms old; a refused order would meet the same state before. */
+    /** Reports are up to about 60 ms old; an earlier retry would use the same state. */
     .order_backoff_us = 100000,
 };
 
@@ -35,10 +35,10 @@
     char model[BACKEND_NAME_SIZE];
     struct piece_store *store;
     struct weight_install install;
-    struct install_piece *pieces; /* of the store; NULL while its manifest is not known */
-    uint64_t scheduled_at;        /* time from which the order may be given, as of the last tick */
-    bool confirmed;               /* the engine's report showed the store's version */
-    struct piece_store *recovery_store; /* gets what lies at the engine; NULL: none */
+    struct install_piece *pieces; /* of the store; NULL until its manifest is known */
+    uint64_t scheduled_at;        /* time from which an order may be sent, as of the last tick */
+    bool confirmed;               /* a report showed that the engine runs the store's version */
+    struct piece_store *recovery_store; /* filled from the staging area; NULL: no recovery */
     uint32_t recovery_piece;
     uint32_t recovered_count;
 };
@@ -57,7 +57,7 @@
     return installer;
 }
 
-/* What became of a call, as far as it can be known. */
+/* Outcome of a call; without an answer, the engine may have handled it or not. */
 static enum install_result install_result_from_call(enum call_result result,
                                                     const struct http_message *message)
 {
@@ -83,8 +83,7 @@
     return result == CALL_ANSWERED ? http_message_status(message) : 0;
 }
 
-/* --- the version that is installed ---------------------------------------------------------------
- */
+/* --- version being installed ------------------------------------------------------------------ */
 
 bool installer_set_store(struct installer *installer, struct piece_store *store, uint64_t now)
 {
@@ -103,7 +102,7 @@
     return true;
 }
 
-/* The machine learns of the version once its number of pieces is known. */
+/* The state machine gets the version once the manifest gives its number of pieces. */
 static void start_version(struct installer *installer, uint64_t now)
 {
     const struct piece_manifest *manifest = piece_store_manifest(installer->store);
@@ -131,8 +130,7 @@
     run_next_action(installer, now);
 }
 
-/* --- the stage -----------------------------------------------------------------------------------
- */
+/* --- staging area ----------------------------------------------------------------------------- */
 
 static void send_stage(struct installer *installer, const char *method, uint32_t piece,
                        const void *body, size_t size, call_done *done)
@@ -155,7 +153,7 @@
     buffer_clear(&target);
 }
 
-/* A call that failed is given again with the next tick, not at once. */
+/* A call that was not sent or got no answer is retried at the next tick, not at once. */
 static void complete_stage_call(struct installer *installer, enum install_result result,
                                 unsigned status)
 {
@@ -180,7 +178,7 @@
                         answered_status(result, message));
 }
 
-/* \return what a reading says of the piece that lies there */
+/* \return whether the piece in the staging area equals the one in the store */
 static enum install_result compare_piece(const struct installer *installer, uint32_t piece,
                                          const struct http_message *message)
 {
@@ -202,8 +200,7 @@
     complete_stage_call(installer, outcome, answered_status(result, message));
 }
 
-/* --- recovery of pieces from the engine's stage --------------------------------------------------
- */
+/* --- recovery of pieces from the staging area ------------------------------------------------- */
 
 static void read_next_recovery_piece(struct installer *installer);
 
@@ -260,8 +257,7 @@
     return installer->recovery_store != NULL;
 }
 
-/* --- the order -----------------------------------------------------------------------------------
- */
+/* --- load order ------------------------------------------------------------------------------- */
 
 static void on_order(void *context, enum call_result result, const struct http_message *message)
 {
@@ -334,8 +330,7 @@
               until > now ? (until - now) / 1000 : 0);
 }
 
-/* --- steps ---------------------------------------------------------------------------------------
- */
+/* --- actions ---------------------------------------------------------------------------------- */
 
 static void log_confirmation(struct installer *installer, uint64_t now)
 {
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -18,19 +18,21 @@
 #define REPORT_INTERVAL_MS 60
 #define REPORT_TIMEOUT_MS 600
 #define REPORT_BODY_LIMIT_BYTES (1U << 20)
-/** An unchanged load is told again after this. */
+/** An unchanged load is sent again after this. */
 #define LOAD_RESEND_INTERVAL_US 300000
-/** Gateways of other regions hear of the load so often, unless its weights change; they send little
- *  here, and bytes between regions are dear. */
+/** Gateways of other regions get the load at this interval, or at once when the state of the
+ * weights changes or the engine shuts down: they send few requests here, and traffic between
+ * regions is expensive. */
 #define CROSS_REGION_LOAD_INTERVAL_US 390000
-/** Time between ticks while pieces are fetched or installed, and between looks at the engine while
- *  it loads: a tenth of the time that loading takes. */
+/** Interval of ticks while pieces are fetched or installed, and of reports while the engine loads:
+ * a tenth of the time that loading takes. */
 #define BUSY_TICK_INTERVAL_MS 25
 #define LOAD_LOG_INTERVAL_US 500000
-/** Ages in messages leave so much open. */
+/** Times derived from the ages in messages are accurate to this. */
 #define PREDECESSOR_TIME_TOLERANCE_US 50000
 
-static const struct start_turn_settings turn_settings = {.first_us = 2000000, .last_us = 6800000};
+static const struct start_turn_settings rollout_schedule = {.first_us = 2000000,
+                                                            .last_us = 6800000};
 
 struct loader {
     struct process process;
@@ -40,11 +42,10 @@
     uv_timer_t timer;
     struct route_table *table;
     struct wanted_versions versions;
-    bool version_check_pending; /* the operator's items changed */
+    bool version_check_pending; /* an item that decides the version changed */
     struct installer *installer;
-    uint64_t
-        predecessor_heard_at; /* of an earlier process of this loader, by other nodes; 0: none */
-    uint64_t predecessor_engine_born; /* of the engine that it reported last; 0: none */
+    uint64_t predecessor_heard_at; /* last message of a previous process to other nodes; 0: none */
+    uint64_t predecessor_engine_born; /* start of the engine that it reported last; 0: none */
     char model[BACKEND_NAME_SIZE];
     struct sockaddr_in origin;
     bool has_origin;
@@ -55,13 +56,13 @@
     struct backend_load sent_load;
     uint64_t load_sent_at;
     uint64_t next_load_log_at;
-    uint64_t cross_region_load_sent_at; /* to gateways of other regions */
+    uint64_t cross_region_load_sent_at;
 };
 
-/* --- the engine's turn ---------------------------------------------------------------------------
- */
+/* --- load schedule ---------------------------------------------------------------------------- */
 
-/* Place of this loader among those that live, and their number. */
+/* \return position of this loader in the rollout, which is by hash. \param count gets the loaders
+ * that are alive, with this one */
 static uint32_t rollout_position(const struct loader *loader, uint32_t *count)
 {
     const struct membership *members = loader->cluster.membership;
@@ -79,23 +80,21 @@
     return before;
 }
 
-/* Time from which the engine may take the version. */
+/* \return time from which the engine may load the version */
 static uint64_t scheduled_load_time(const struct loader *loader)
 {
     uint32_t count;
     if (!loader->report.load.version)
-        return 0; /* an empty engine does nothing else: at once */
+        return 0; /* an engine without weights serves no requests: at once */
     uint32_t position = rollout_position(loader, &count);
-    return start_turn(&turn_settings,
+    return start_turn(&rollout_schedule,
                       wanted_versions_announced_at(&loader->versions, loader->report.load.version),
                       position, count);
 }
 
-/* --- the engine's load ---------------------------------------------------------------------------
- */
+/* --- engine load ------------------------------------------------------------------------------ */
 
-/* Time until the engine's turn to take the version that lies staged; 0: it has come, or is not
- * known.
+/* \return time until the engine may load the staged version; 0: it may now, or the time is unknown
  */
 static uint32_t ms_until_scheduled(const struct loader *loader, uint64_t now)
 {
@@ -159,7 +158,7 @@
     loader->reachable = reachable;
 }
 
-/* The engine says so in the head of each of its answers. */
+/* The engine says in the head of each response whether it is shutting down. */
 static bool announces_shutdown(const struct http_message *message)
 {
     struct answer_head head;
@@ -200,7 +199,7 @@
         send_load(loader, now);
 }
 
-/* The engine may have ended, and started again with an empty stage before the next report. */
+/* The engine may have restarted with an empty staging area before the next report. */
 static void on_engine_connection_lost(void *context)
 {
     struct loader *loader = context;
@@ -220,8 +219,7 @@
     http_caller_send(loader->engine_caller, &request);
 }
 
-/* --- what the platform publishes
- * ------------------------------------------------------------------- */
+/* --- items published by the platform ---------------------------------------------------------- */
 
 static void find_origin(struct loader *loader)
 {
@@ -253,7 +251,8 @@
     wanted_versions_add(&loader->versions, store, announced_at, now);
 }
 
-/* Find out which version the engine should have, once all that takes is known. */
+/* Finds the version that the engine is to run, once the configuration, origin and model are known.
+ */
 static void update_wanted_version(struct loader *loader)
 {
     if (!loader->table || !loader->has_origin || !loader->installer)
@@ -304,7 +303,7 @@
                                    loader->predecessor_engine_born);
 }
 
-/* It may come before the engine's model is known, and comes from each node that knows. */
+/* Called once for each node that reports it, possibly before the engine's model is known. */
 static void on_predecessor(void *context, uint64_t heard_at, uint64_t engine_born)
 {
     struct loader *loader = context;
@@ -325,12 +324,11 @@
         return;
     if (kind == ITEM_CONFIGURATION)
         apply_configuration(loader, item);
-    /* Not at once: the other items of the same answer are still to come. */
+    /* Deferred to the next tick: other items of the same response may follow. */
     loader->version_check_pending |= kind == ITEM_CONFIGURATION || kind == ITEM_VERSION;
 }
 
-/* --- peers ---------------------------------------------------------------------------------------
- */
+/* --- peers ------------------------------------------------------------------------------------ */
 
 static void on_call(void *context, struct service_call *call, const struct service_request *request)
 {
@@ -349,8 +347,7 @@
         http_caller_abort(loader->engine_caller);
 }
 
-/* --- process -------------------------------------------------------------------------------------
- */
+/* --- process ---------------------------------------------------------------------------------- */
 
 static void on_tick(uv_timer_t *timer)
 {
--- a/src/loader/loader.h
+++ b/src/loader/loader.h
@@ -1,11 +1,13 @@
 /**
- * The loader: beside one model engine. It fetches the pieces of the version that the operator
- * names, from peers and the origin, stages them at the engine, checks what lies there, and orders
- * the engine to take them. It also tells the gateways the engine's load.
+ * The loader process, one beside each model engine. It fetches the pieces of the weights version
+ * that the operator announces from other nodes and the origin, uploads them to the engine's staging
+ * area, verifies them there, and orders the engine to load them. It also reports the engine's load
+ * to the gateways.
  */
 #ifndef SHUNTRUN_LOADER_H
 #define SHUNTRUN_LOADER_H
 
+/** \return exit status of the process */
 int loader_main(int argc, char **argv);
 
 #endif
--- a/src/loader/piece_store.c
+++ b/src/loader/piece_store.c
@@ -9,12 +9,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Connections to a relay. Two keep the link full: one call is on its way while the other one's
- *  piece comes. Each piece in flight delays the requests for the engine by its time on the link. */
+/** Connections to each source. Two keep the link busy: one carries a piece while the other one's
+ * call is on its way. Each piece in flight delays requests for the engine by its transfer time. */
 #define CONNECTIONS_EXCLUSIVE 3
 #define CONNECTIONS_SHARED 2
 #define CONNECTIONS_SLOW 1
-/** Share of the link's rate for pieces to others: the rest is for the answers of the engine. */
+/** Fraction of the link's rate for pieces sent to other nodes; the rest is for engine responses. */
 #define UPLOAD_LINK_FRACTION 0.3
 
 struct piece_store {
--- a/src/loader/wanted_versions.c
+++ b/src/loader/wanted_versions.c
@@ -4,23 +4,23 @@
 
 #include <string.h>
 
-/** A version named less than this ago cannot lie at the engine yet. */
+/** A version announced less than this ago cannot be in the engine's staging area yet. */
 #define RECOVERY_MIN_AGE_US 4000000
-/** A version of which no piece came for so long does not progress: some ten times the time that a
- *  piece takes on a machine's link. */
+/** A fetch without a new piece for this long is stalled: about ten times the transfer time of a
+ * piece on a machine's link. */
 #define FETCH_STALL_TIMEOUT_US 800000
-/** Time in which the engine gives its first report, or is dead. */
+/** An engine that gives no report for this long after a version became known counts as down. */
 #define FIRST_REPORT_TIMEOUT_US 1500000
 
-/* --- which versions are kept ---------------------------------------------------------------------
- */
+/* --- which versions are kept ------------------------------------------------------------------ */
 
 uint64_t wanted_versions_newest(const struct wanted_versions *versions)
 {
     return versions->count ? versions->list[versions->count - 1].version : 0;
 }
 
-/* What calls for a version may still do at the engine can only be set right with its pieces. */
+/* While calls for a version may still take effect at the engine, its pieces are needed to verify
+ * and repair the staging area. */
 static bool can_remove(const struct wanted_versions *versions, uint32_t index, uint64_t now)
 {
     return versions->list[index].version != versions->installing ||
@@ -40,13 +40,13 @@
     memmove(wanted, wanted + 1, (versions->count - index) * sizeof *wanted);
 }
 
-/* Make place for one more version. At most one of them may not be dropped. */
+/* Makes room for one more version. At most one version cannot be removed. */
 static void remove_oldest(struct wanted_versions *versions, uint64_t now)
 {
     remove_version(versions, can_remove(versions, 0, now) ? 0 : 1, now);
 }
 
-/* Nobody asks for versions older than the one that the engine runs. */
+/* No node needs versions older than the one that the engine runs. */
 static void remove_outdated(struct wanted_versions *versions, uint64_t engine_version, uint64_t now)
 {
     while (versions->count > 1 && versions->list[0].version < engine_version &&
@@ -54,7 +54,7 @@
         remove_version(versions, 0, now);
 }
 
-/* An older version goes on while a newer one may not be had yet. */
+/* Older versions stay: the newer one may not be available yet. */
 void wanted_versions_add(struct wanted_versions *versions, struct piece_store *store,
                          uint64_t announced_at, uint64_t now)
 {
@@ -94,7 +94,8 @@
     return false;
 }
 
-/* A version that was named before the one to install, and is missing too, sets the time. */
+/* The schedule counts from the oldest version that the engine lacks, even if a newer one is to be
+ * installed. */
 uint64_t wanted_versions_announced_at(const struct wanted_versions *versions,
                                       uint64_t engine_version)
 {
@@ -104,8 +105,7 @@
     return 0;
 }
 
-/* --- which version is fetched --------------------------------------------------------------------
- */
+/* --- which version is fetched ----------------------------------------------------------------- */
 
 static uint32_t first_fetch_index(const struct wanted_versions *versions, uint64_t now)
 {
@@ -123,8 +123,9 @@
 }
 
 /*
- * The engine that runs a version has its pieces in its stage: they are taken from there before
- * anything is fetched over the network. \return whether the store has to wait for that
+ * An engine that runs a version has its pieces in the staging area. They are read from there before
+ * anything is fetched over the network.
+ * \return whether fetching has to wait for that
  */
 static bool recover_from_stage(const struct wanted_versions *versions,
                                struct wanted_version *wanted, const struct engine_state *engine,
@@ -154,7 +155,7 @@
         enum link_sharing sharing = engine->version ? LINK_SHARED_WITH_ENGINE : LINK_EXCLUSIVE;
         bool complete = piece_store_complete(store);
         if (!complete && first != FETCH_ORDER_NONE && i < first)
-            continue; /* a newer one comes instead */
+            continue; /* a newer version is fetched instead */
         if (i > first)
             sharing = LINK_LOW_PRIORITY;
         piece_store_set_link_sharing(store, sharing);
@@ -166,10 +167,9 @@
     return fetching;
 }
 
-/* --- which version is installed ------------------------------------------------------------------
- */
+/* --- which version is installed --------------------------------------------------------------- */
 
-/* The newest version that is whole here is installed; before one is, the oldest that is missing. */
+/* \return the newest complete version; if none is complete, the oldest newer than the engine's */
 static struct wanted_version *select_version(struct wanted_versions *versions,
                                              uint64_t engine_version)
 {
--- a/src/loader/wanted_versions.h
+++ b/src/loader/wanted_versions.h
@@ -1,6 +1,6 @@
 /**
- * The versions of the weights that a loader wants, from the moment in which it hears of one until
- * nobody asks for its pieces any more: which is fetched first, and which is installed.
+ * The versions of the weights that a loader is to provide, each from its announcement until no node
+ * needs its pieces any more: which one is fetched first, and which one is installed.
  */
 #ifndef SHUNTRUN_WANTED_VERSIONS_H
 #define SHUNTRUN_WANTED_VERSIONS_H
@@ -9,52 +9,53 @@
 #include "loader/installer.h"
 #include "loader/piece_store.h"
 
-/** Versions whose pieces are held: the one in use, one on its way and one named meanwhile. */
+/** The version in use, one that is being fetched or installed, and one announced meanwhile. */
 #define WANTED_VERSIONS_MAX 3
 
 struct wanted_version {
     uint64_t version;
-    uint64_t announced_at; /**< time at which it was named */
-    uint64_t wanted_at;    /**< time at which this process heard of it */
+    uint64_t announced_at; /**< time at which the operator announced it */
+    uint64_t wanted_at;    /**< time at which this process learned of it */
     struct piece_store *store;
-    bool recovery_done; /**< the engine's stage was read, or need not be */
+    bool recovery_done; /**< the engine's staging area was read, or need not be */
 };
 
-/** All zero but for `installer`: none. */
+/** Starts with all fields zero but `installer`. */
 struct wanted_versions {
-    struct wanted_version list[WANTED_VERSIONS_MAX]; /**< rising */
+    struct wanted_version list[WANTED_VERSIONS_MAX]; /**< in ascending order */
     uint32_t count;
-    uint64_t installing; /**< version that the installer is at, 0: none */
+    uint64_t installing; /**< version that the installer was given, 0: none */
     struct installer *installer;
 };
 
-/** What the loader knows of its engine. */
+/** State of the engine as the loader knows it. */
 struct engine_state {
-    uint64_t version; /**< that it runs, as it last said; 0: none */
-    bool reachable;   /**< its last report came */
+    uint64_t version; /**< version in its last report, 0: none */
+    bool reachable;   /**< whether it answered the last report request */
 };
 
-/** \return the newest version that is wanted, 0: none */
+/** \return the newest version in the list, 0: none */
 uint64_t wanted_versions_newest(const struct wanted_versions *versions);
-/** \brief Want a version that is newer than all others. \param store of its pieces, owned from now
+/** \brief Add a version newer than all others. \param store of its pieces; the list takes ownership
  */
 void wanted_versions_add(struct wanted_versions *versions, struct piece_store *store,
                          uint64_t announced_at, uint64_t now);
-/** \brief A piece was fetched into a store. */
+/** \brief A piece was fetched into the store of a version. */
 void wanted_versions_on_piece(struct wanted_versions *versions, const struct piece_store *store,
                               uint32_t piece);
-/** \brief Answer another node's call for pieces. \return whether a store of the version is here */
+/** \brief Answer another node's call for pieces. \return false, without an answer, if no store has
+ * the version */
 bool wanted_versions_serve(struct wanted_versions *versions, struct service_call *call,
                            const struct piece_call *wanted);
-/** \return whether pieces came so slowly that the machine's link must be narrow */
+/** \return whether transfers show much less bandwidth than the link's nominal rate */
 bool wanted_versions_link_is_slow(const struct wanted_versions *versions);
-/** \return time at which the oldest version that the engine lacks was named, 0: none */
+/** \return time at which the oldest version newer than the engine's was announced, 0: none */
 uint64_t wanted_versions_announced_at(const struct wanted_versions *versions,
                                       uint64_t engine_version);
-/** \brief Fetch what is missing. \return whether something is */
+/** \brief Fetch missing pieces. \return whether a version is being fetched */
 bool wanted_versions_fetch(struct wanted_versions *versions, const struct engine_state *engine,
                            uint64_t now);
-/** \brief Drop what nobody asks for, and let the installer go on to the version that is due. */
+/** \brief Remove versions that no node needs, and give the installer the version to install. */
 void wanted_versions_install(struct wanted_versions *versions, uint64_t engine_version,
                              uint64_t now);
 
