--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -61,8 +61,8 @@
 
 /* --- load schedule ---------------------------------------------------------------------------- */
 
-/* \return position of this loader in the rollout, which is by hash. \param count gets the loaders
- * that are alive, with this one */
+/* \return position of this loader in the rollout order, a hash of version and address. \param count
+ * gets the loaders that are alive, with this one */
 static uint32_t rollout_position(const struct loader *loader, uint32_t *count)
 {
     const struct membership *members = loader->cluster.membership;
@@ -236,7 +236,7 @@
     wanted_versions_on_piece(&loader->versions, store, piece);
 }
 
-static void want_version(struct loader *loader, uint64_t version, uint64_t announced_at)
+static void add_wanted_version(struct loader *loader, uint64_t version, uint64_t announced_at)
 {
     uint64_t now = cluster_now();
     uint64_t newest = wanted_versions_newest(&loader->versions);
@@ -266,18 +266,18 @@
         if (item->gone || platform_item_kind(item->key, name, sizeof name) != ITEM_VERSION ||
             strcmp(name, loader->model) != 0)
             continue;
-        uint64_t named;
-        if (platform_parse_version(item->value ? item->value : "", item->size, &named) !=
+        uint64_t parsed_version;
+        if (platform_parse_version(item->value ? item->value : "", item->size, &parsed_version) !=
             STATUS_OK) {
             log_event(LOG_LEVEL_ERROR, "weights", "refused",
                       "model=%s revision=%" PRIu64 " problem=\"%s\"", name, item->revision,
                       status_message());
             continue;
         }
-        version = named;
+        version = parsed_version;
         announced_at = item->learned;
     }
-    want_version(loader, version, announced_at);
+    add_wanted_version(loader, version, announced_at);
 }
 
 static void apply_configuration(struct loader *loader, const struct state_item *item)
--- a/tests/core/weight_install_late_put_test.c
+++ b/tests/core/weight_install_late_put_test.c
@@ -1,20 +1,21 @@
 /*
- * The first put of a loader process that ended may still be on its way when the next process finds
- * an empty stage, fills it with a newer version, and reads all pieces back. Found by a random walk:
- * the put came between the last reading and the order. Other nodes heard the earlier process: they
- * tell when, and which start of the engine it knew, so that a loss of power is told from a restart.
+ * The first put of a loader process that ended may still be in transit when the next process finds
+ * an empty staging area, fills it with a newer version, and reads all pieces back. The engine
+ * loaded a mix of versions when that put arrived between the last read-back and the order; a random
+ * walk found this. Other nodes report when they last heard the previous process and which start of
+ * the engine it knew, which distinguishes a restarted loader from a loss of power.
  */
 #include "testing.h"
 
 #include "weight_install_walk.h"
 
-static void delayed_first_put_of_a_previous_process_does_not_mix_versions(void **state)
+static void delayed_first_put_of_a_previous_process_does_not_corrupt_weights(void **state)
 {
     check_walk(&walk_options, SIM_ENGINE_SHUTS_DOWN, 79176);
 }
 
-/* The walk shows what it is kept for: without the news of others it ends as it did. */
-static void delayed_first_put_mixes_versions_without_peer_reports(void **state)
+/* Checks that the walk still reproduces the failure when reports of other nodes are ignored. */
+static void delayed_first_put_corrupts_weights_without_peer_reports(void **state)
 {
     struct sim sim;
     struct sim_options options = walk_options;
@@ -23,8 +24,9 @@
     assert_true(sim.violated);
 }
 
-/* A loader that starts anew while its engine has just started: nobody's put can be on its way to
- * it, and it does not stay empty for longer than that takes. */
+/* Loader and engine have just restarted. No put can be in transit to an engine that started after
+ * the one which the previous process reported, so the loader must not leave it empty for the
+ * lifetime of a call. */
 static void engine_started_after_the_predecessor_report_is_ordered_at_once(void **state)
 {
     static const struct sim_options options = {.budget = {.ticks = 20, .announcements = 3}};
@@ -41,7 +43,7 @@
         sim_step(&sim, &options, SIM_REPORT_DELIVERED);
         for (int i = 0; i < 20; i++)
             sim_step(&sim, &options, SIM_STAGE_CALL_ANSWERED);
-        /* It reported another start of the engine, or none: this one may have got its puts. */
+        /* If the previous process reported no start of the engine, its puts may reach this one. */
         assert_int_equal(sim.order_call.kind, reported_born ? INSTALL_ORDER : INSTALL_NO_ACTION);
     }
 }
@@ -49,9 +51,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(delayed_first_put_mixes_versions_without_peer_reports),
+        cmocka_unit_test(delayed_first_put_corrupts_weights_without_peer_reports),
         cmocka_unit_test(engine_started_after_the_predecessor_report_is_ordered_at_once),
-        cmocka_unit_test(delayed_first_put_of_a_previous_process_does_not_mix_versions),
+        cmocka_unit_test(delayed_first_put_of_a_previous_process_does_not_corrupt_weights),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/weight_install_sim.h
+++ b/tests/core/weight_install_sim.h
@@ -1,10 +1,12 @@
 /**
- * A small world around core/weight_install: one engine with a stage of a few pieces, a network that
- * loses calls and answers and delivers calls late, an operator who names versions, and failures of
- * loader, engine and stage. Each event that may come next is one step.
+ * Simulation of the environment of core/weight_install: one engine with a staging area of a few
+ * pieces, a network that loses calls and answers and delays calls, an operator who announces
+ * versions, and failures of the loader, the engine and the staging area. Each possible next event
+ * is one step.
  *
- * The oracle is the engine: it takes weights of which a piece is missing, of another version, or
- * bad for longer than could be noticed. It knows nothing of what the loader believes.
+ * The engine is the test oracle. A run fails when the engine loads weights of which a piece is
+ * missing, is of another version, or was corrupted for longer than detection may take. The oracle
+ * uses no state of the loader for this.
  */
 #ifndef SHUNTRUN_WEIGHT_INSTALL_SIM_H
 #define SHUNTRUN_WEIGHT_INSTALL_SIM_H
@@ -16,12 +18,13 @@
 #define SIM_PIECES 2
 #define SIM_DELAYED_CALLS_MAX 2
 #define SIM_START_TIME 100
-/** A piece that turned bad this recently may be taken, in units of half a second. */
+/** Time for which a corrupted piece may go undetected, in units of half a second. */
 #define SIM_CORRUPTION_UNDETECTED 6
-/** An order without an answer is given up after this, in the same units. */
+/** Timeout of the call of an order, in units of half a second. */
 #define SIM_ORDER_TIMEOUT 3
 
-/** Units of half a second; a late call lives for 3 s instead of 12, so that worlds stay small. */
+/** In units of half a second. The lifetime of a call is 3 s instead of 12 s, which keeps the number
+ * of states small. */
 static const struct weight_install_settings sim_settings = {
     .verification_valid_us = 3,
     .reread_interval_us = 1,
@@ -30,7 +33,7 @@
     .order_backoff_us = 1,
 };
 
-/** A rule of the machine that is left out, to see that the exploration notices. */
+/** A rule of the state machine that is disabled, to check that the exploration detects it. */
 enum sim_mutation {
     SIM_NO_MUTATION,
     SIM_UNANSWERED_ORDER_IS_OVER,
@@ -42,12 +45,12 @@
     SIM_IDENTICAL_ENGINE_STARTS,
 };
 
-/** How many of each event may still come. */
+/** How many events of each kind may still happen. */
 struct sim_budget {
-    uint8_t ticks; /* of half a second */
-    uint8_t announcements;
-    uint8_t delayed;
-    uint8_t lost;
+    uint8_t ticks;         /* of half a second */
+    uint8_t announcements; /* of versions */
+    uint8_t delayed;       /* calls that may arrive after they were given up */
+    uint8_t lost;          /* calls and answers */
     uint8_t loader_restarts;
     uint8_t engine_crashes;
     uint8_t engine_replacements;
@@ -61,8 +64,8 @@
     struct sim_budget budget;
     enum sim_mutation mutation;
     bool engine_busy;        /**< the engine has a request that does not end */
-    bool prompt_stage_calls; /**< calls at the stage are answered before time passes */
-    bool stale_reports; /**< something may happen between a report's reading and its delivery */
+    bool prompt_stage_calls; /**< stage calls are answered before time passes */
+    bool stale_reports;      /**< other steps may happen between sending and delivery of a report */
 };
 
 struct sim_call {
@@ -70,7 +73,7 @@
     uint32_t piece;
     uint64_t version;
     uint64_t sequence;
-    uint64_t until; /* of a late call */
+    uint64_t until; /* timeout of an order; end of the lifetime of a delayed call */
 };
 
 struct sim {
@@ -82,17 +85,17 @@
     struct sim_call order_call;
     struct sim_call delayed[SIM_DELAYED_CALLS_MAX];
     bool report_in_flight;
-    struct install_engine report; /* read at the engine, not delivered yet */
+    struct install_engine report; /* sent by the engine, not delivered yet */
     struct install_engine engine;
     uint64_t loading_version;
-    uint64_t stage[SIM_PIECES]; /* version of what lies there; 0: nothing */
+    uint64_t stage[SIM_PIECES]; /* version of each staged piece; 0: none */
     uint64_t corrupted_since[SIM_PIECES];
-    bool predecessor_known; /* other nodes heard of an earlier process of the loader, that ... */
-    uint64_t heard_at;      /* ... was last heard then, and ... */
-    uint64_t reported_born; /* ... reported this start of the engine last; 0: none */
+    bool predecessor_known; /* other nodes heard a previous process of the loader */
+    uint64_t heard_at;      /* time at which they last heard it */
+    uint64_t reported_born; /* start of the engine that it reported last; 0: none */
     struct sim_budget budget_left;
-    bool violated; /* the engine took weights that were not whole, or got an order though it was
-                    known to leave */
+    bool violated; /* the engine loaded invalid weights, or got an order though it was known to be
+                      shutting down */
 };
 
 enum sim_step {
@@ -128,30 +131,29 @@
     [SIM_STAGE_CALL_ANSWERED] = "stage call answered",
     [SIM_STAGE_ANSWER_LOST] = "stage call done, answer lost",
     [SIM_STAGE_CALL_LOST] = "stage call lost",
-    [SIM_STAGE_CALL_DELAYED] = "stage call given up, still on its way",
+    [SIM_STAGE_CALL_DELAYED] = "stage call timed out, still in transit",
     [SIM_ORDER_ANSWERED] = "order answered",
     [SIM_ORDER_ANSWER_LOST] = "order handled, answer lost",
     [SIM_ORDER_LOST] = "order lost",
-    [SIM_ORDER_DELAYED] = "order given up, still on its way",
-    [SIM_FIRST_DELAYED_CALL_ARRIVES] = "first late call arrives",
-    [SIM_SECOND_DELAYED_CALL_ARRIVES] = "second late call arrives",
-    [SIM_REPORT_SENT] = "report read at the engine",
+    [SIM_ORDER_DELAYED] = "order timed out, still in transit",
+    [SIM_FIRST_DELAYED_CALL_ARRIVES] = "first delayed call arrives",
+    [SIM_SECOND_DELAYED_CALL_ARRIVES] = "second delayed call arrives",
+    [SIM_REPORT_SENT] = "report sent by the engine",
     [SIM_REPORT_DELIVERED] = "report delivered",
     [SIM_REPORT_LOST] = "report lost",
     [SIM_WEIGHTS_LOADED] = "engine has loaded",
-    [SIM_VERSION_ANNOUNCED] = "version named",
+    [SIM_VERSION_ANNOUNCED] = "version announced",
     [SIM_LOADER_RESTARTS] = "loader restarts, its calls are lost",
-    [SIM_LOADER_RESTARTS_CALLS_DELAYED] = "loader restarts, its calls are on their way",
+    [SIM_LOADER_RESTARTS_CALLS_DELAYED] = "loader restarts, its calls are in transit",
     [SIM_ENGINE_CRASHES] = "engine crashes and restarts",
     [SIM_ENGINE_REPLACED] = "engine replaced by an empty one",
-    [SIM_ENGINE_RESTARTS_UNNOTICED] = "engine starts again, empty, between two reports",
+    [SIM_ENGINE_RESTARTS_UNNOTICED] = "engine restarts, empty, between two reports",
     [SIM_POWER_LOST] = "power lost",
-    [SIM_FIRST_PIECE_CORRUPTED] = "a piece turns bad",
-    [SIM_ENGINE_SHUTS_DOWN] = "engine says that it leaves",
+    [SIM_FIRST_PIECE_CORRUPTED] = "a piece is corrupted",
+    [SIM_ENGINE_SHUTS_DOWN] = "engine announces its shutdown",
 };
 
-/* --- the loader ----------------------------------------------------------------------------------
- */
+/* --- loader ----------------------------------------------------------------------------------- */
 
 static void sim_start_loader(struct sim *sim, const struct sim_options *options)
 {
@@ -167,7 +169,7 @@
     sim->report_in_flight = false;
 }
 
-/* A loader that has run for long. */
+/* Makes the loader one that has run for long: no call of a previous process is in doubt. */
 static void sim_settle_loader(struct sim *sim)
 {
     weight_install_report(&sim->install, &sim->engine, sim->now);
@@ -194,7 +196,7 @@
         weight_install_mark_held(&sim->install, i);
 }
 
-/* The shell: all that the machine wants now. */
+/* Stands in for loader/installer: carries out all actions that the state machine returns now. */
 static void sim_run_loader(struct sim *sim, const struct sim_options *options)
 {
     sim_apply_mutation(sim, options->mutation);
@@ -213,8 +215,7 @@
     }
 }
 
-/* --- the engine ----------------------------------------------------------------------------------
- */
+/* --- engine ----------------------------------------------------------------------------------- */
 
 static bool sim_stage_is_valid(const struct sim *sim, uint64_t version)
 {
@@ -260,8 +261,7 @@
                                        : sim_engine_handle_stage_call(sim, call);
 }
 
-/* --- steps ---------------------------------------------------------------------------------------
- */
+/* --- steps ------------------------------------------------------------------------------------ */
 
 static bool sim_consume(uint8_t *budget_left)
 {
@@ -282,7 +282,7 @@
     return false;
 }
 
-static bool sim_end_call(struct sim *sim, struct sim_call *slot, bool taken, bool answered)
+static bool sim_end_call(struct sim *sim, struct sim_call *slot, bool handled, bool answered)
 {
     struct sim_call call = *slot;
     if (call.kind == INSTALL_NO_ACTION)
@@ -290,7 +290,7 @@
     if (!answered && !sim_consume(&sim->budget_left.lost))
         return false;
     *slot = (struct sim_call){0};
-    enum install_result result = taken ? sim_engine_handle_call(sim, &call) : INSTALL_NO_ANSWER;
+    enum install_result result = handled ? sim_engine_handle_call(sim, &call) : INSTALL_NO_ANSWER;
     if (!answered)
         result = INSTALL_NO_ANSWER;
     if (call.kind == INSTALL_ORDER)
@@ -307,7 +307,7 @@
         !sim_store_delayed_call(sim, &call))
         return false;
     sim->budget_left.delayed--;
-    sim->budget_left.lost++; /* this is not one of the lost ones */
+    sim->budget_left.lost++; /* does not count as lost: sim_end_call() takes one off */
     return sim_end_call(sim, slot, false, false);
 }
 
@@ -356,8 +356,8 @@
     return true;
 }
 
-/* What other nodes know of the process that ends now: they hear it up to its end, and what it
- * reports of its engine. */
+/* Records what other nodes know of the process that ends now. They hear it up to its end, and learn
+ * the start of the engine that it reports. */
 static void sim_record_predecessor(struct sim *sim)
 {
     sim->predecessor_known = true;
@@ -379,7 +379,8 @@
     return true;
 }
 
-/* Calls end with the process to which their connections lead, also those on their way. */
+/* The connections of the engine end with its process, and with them all calls, also delayed ones.
+ */
 static void sim_end_engine(struct sim *sim)
 {
     sim->budget_left.lost += 2;
@@ -396,7 +397,7 @@
     uint8_t lost = sim->budget_left.lost;
     sim_end_engine(sim);
     sim->budget_left.lost = lost;
-    /* Its connection to the loader breaks too. */
+    /* The connection to the loader is lost, too. */
     sim->report_in_flight = false;
     if (options->mutation != SIM_VERIFICATION_OUTLIVES_ENGINE)
         weight_install_report_missed(&sim->install);
@@ -419,7 +420,7 @@
     return sim_crash_engine(sim, options);
 }
 
-/* No connection was open that could show the end: only the next report does. */
+/* No connection is open that would show the restart: only the next report does. */
 static bool sim_restart_engine_unnoticed(struct sim *sim, const struct sim_options *options)
 {
     if (sim->report_in_flight || !sim_consume(&sim->budget_left.unnoticed_restarts))
@@ -441,7 +442,7 @@
     sim_clear_stage(sim);
     memset(sim->delayed, 0, sizeof sim->delayed);
     sim->engine = (struct install_engine){0};
-    sim->predecessor_known = false; /* all nodes begin anew */
+    sim->predecessor_known = false; /* all nodes restart */
     sim_start_loader(sim, options);
     return true;
 }
@@ -455,7 +456,7 @@
     return true;
 }
 
-/* It goes on until another start. */
+/* The engine keeps running until its next start. */
 static bool sim_shut_down_engine(struct sim *sim)
 {
     if (sim->engine.leaving || !sim_consume(&sim->budget_left.engine_shutdowns))
@@ -525,14 +526,15 @@
     return false;
 }
 
-/* A copy of a world is another world: its machine has to use its own pieces. */
+/* Call after copying a simulation: its state machine has to use its own pieces. */
 static inline void sim_rebind_pieces(struct sim *sim)
 {
     if (sim->install.pieces)
         sim->install.pieces = sim->pieces;
 }
 
-/** \return whether the step can happen; the world is as after it */
+/** \brief Apply a step and run the loader. \return false if the step is not
+ * possible */
 static bool sim_step(struct sim *sim, const struct sim_options *options, enum sim_step step)
 {
     if (!sim_apply_step(sim, options, step))
--- a/tests/core/weight_install_sim_hash.h
+++ b/tests/core/weight_install_sim_hash.h
@@ -1,5 +1,5 @@
 /**
- * Equality of the worlds of weight_install_sim.h: those in which the same can happen have one
+ * Hash of the states of weight_install_sim.h. States with the same possible futures have the same
  * hash.
  */
 #ifndef SHUNTRUN_WEIGHT_INSTALL_SIM_HASH_H
@@ -9,7 +9,7 @@
 
 #include <xxhash.h>
 
-/** Ages above this are the same to all rules. */
+/** Ages above this, in units of half a second, make no difference to any rule. */
 #define SIM_MAX_AGE 12
 
 static uint64_t sim_age(const struct sim *sim, uint64_t time)
@@ -41,7 +41,7 @@
                  (uint64_t)(engine->requests > 0) << 1 | engine->loading;
 }
 
-/** \return the same for worlds in which the same can happen: times count from now */
+/** \return hash of the state, in which all times are relative to now */
 static uint64_t sim_hash(const struct sim *sim)
 {
     uint64_t words[96] = {0};
--- a/tests/core/weight_install_test.c
+++ b/tests/core/weight_install_test.c
@@ -1,10 +1,11 @@
 /*
- * What enters an engine, whatever the order of events.
+ * Engines load only valid weights, for every sequence of events.
  *
- * An engine answered with weights of which a piece was of another version. Its loader had ordered
- * one version, got no answer for 1.5 s, taken the order for lost and put a newer version's pieces
- * into the stage; then the engine took the order. Nobody had thought of that order of events, so
- * here all of them are played: breadth first over worlds, each of which is visited once.
+ * Guards against a failure in which an engine answered with weights of which one piece was of
+ * another version. Its loader had ordered one version, got no answer for 1.5 s, counted the order
+ * as lost and put pieces of a newer version into the staging area; then the engine carried out the
+ * order. As such sequences are easily overlooked, the test explores all of them: a breadth-first
+ * search over the states of the simulation, each of which is visited once.
  */
 #include "testing.h"
 
@@ -17,7 +18,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/** Worlds that one exploration visits at the most. */
+/** States that one exploration visits at most. */
 #define STATES_MAX 400000U
 #define TRACE_LENGTH_MAX 200
 
@@ -30,8 +31,8 @@
     struct visit *visits;
     struct sim *states;
     uint32_t count;
-    bool exhausted;    /* there is no further world */
-    uint32_t violated; /* visit at which weights were not whole, 0: none */
+    bool exhausted;    /* all reachable states were visited */
+    uint32_t violated; /* index of the state that violates the invariant, 0: none */
     ck_ht_t visited;
 };
 
@@ -53,7 +54,7 @@
 {
     ck_ht_hash_t place;
     ck_ht_entry_t entry;
-    uint64_t key = hash > 1 ? hash : 2; /* the table keeps the smallest keys for itself */
+    uint64_t key = hash > 1 ? hash : 2; /* the table reserves the smallest keys */
     ck_ht_hash_direct(&place, &exploration->visited, key);
     ck_ht_entry_set_direct(&entry, place, key, 1);
     return ck_ht_put_spmc(&exploration->visited, place, &entry);
@@ -118,15 +119,16 @@
         print_message("    %s\n", announcements[count]);
 }
 
-/* \return whether weights that were not whole entered the engine */
+/* \return whether the engine loads invalid weights, or gets an order while shutting down, in any
+ * state */
 static bool violates_invariant(const char *what, const struct sim_options *options)
 {
     struct exploration exploration;
     explore(&exploration, options);
     bool violated = exploration.violated != 0;
-    print_message("%s: %u worlds%s, %s\n", what, exploration.count,
-                  exploration.exhausted || violated ? "" : " and more",
-                  violated ? "broken by" : "sound");
+    print_message("%s: %u states%s, %s\n", what, exploration.count,
+                  exploration.exhausted || violated ? "" : " (limit reached)",
+                  violated ? "invariant violated by" : "invariant held");
     if (violated)
         print_trace(&exploration);
     end_exploration(&exploration);
@@ -162,7 +164,7 @@
     .prompt_stage_calls = true,
     .engine_busy = true};
 
-static void unanswered_calls_do_not_mix_versions(void **state)
+static void unanswered_calls_do_not_corrupt_weights(void **state)
 {
     assert_false(violates_invariant("unanswered calls", &unanswered_calls));
     assert_false(
@@ -170,40 +172,40 @@
     assert_false(violates_invariant("unanswered calls and stale reports", &stale_reports));
 }
 
-static void loader_restart_does_not_mix_versions(void **state)
+static void loader_restart_does_not_corrupt_weights(void **state)
 {
-    assert_false(violates_invariant("restarted loader", &loader_restart));
+    assert_false(violates_invariant("loader restart", &loader_restart));
 }
 
 static void crashed_engine_loads_only_valid_weights(void **state)
 {
-    assert_false(violates_invariant("crashed engine", &engine_crash));
+    assert_false(violates_invariant("engine crash", &engine_crash));
 }
 
 static void replaced_engine_loads_only_valid_weights(void **state)
 {
-    assert_false(violates_invariant("replaced engine", &engine_replacement));
+    assert_false(violates_invariant("engine replacement", &engine_replacement));
 }
 
 static void unnoticed_engine_restart_loads_only_valid_weights(void **state)
 {
-    assert_false(violates_invariant("engine starts again", &engine_restarts_unnoticed));
+    assert_false(violates_invariant("unnoticed engine restart", &engine_restarts_unnoticed));
 }
 
 static void engine_shutting_down_gets_no_order(void **state)
 {
-    assert_false(violates_invariant("leaving engine", &engine_shutdown));
+    assert_false(violates_invariant("engine shutdown", &engine_shutdown));
 }
 
-static void power_loss_does_not_mix_versions(void **state)
+static void power_loss_does_not_corrupt_weights(void **state)
 {
-    assert_false(violates_invariant("lost power", &power_loss));
+    assert_false(violates_invariant("power loss", &power_loss));
 }
 
 static void corrupted_piece_is_not_loaded(void **state)
 {
-    assert_false(violates_invariant("bad pieces", &corrupted_pieces));
-    assert_false(violates_invariant("bad pieces at a busy engine", &busy_engine));
+    assert_false(violates_invariant("corrupted pieces", &corrupted_pieces));
+    assert_false(violates_invariant("corrupted pieces at a busy engine", &busy_engine));
 }
 
 static void answer_stage_calls(struct sim *sim, const struct sim_options *options)
@@ -212,7 +214,8 @@
         sim_step(sim, options, SIM_STAGE_CALL_ANSWERED);
 }
 
-/* It finishes its requests first; nothing is gained by an order that comes when it is empty. */
+/* The engine finishes its requests before it loads; delaying the order until it has none gains
+ * nothing. */
 static void engine_with_requests_is_ordered_at_its_scheduled_time(void **state)
 {
     struct sim sim;
@@ -223,7 +226,7 @@
     assert_int_equal(sim.order_call.kind, INSTALL_ORDER);
 }
 
-/* What is put there now is lost with its end. */
+/* Pieces put into an engine that is shutting down are lost when it ends. */
 static void engine_shutting_down_gets_no_new_pieces(void **state)
 {
     struct sim sim;
@@ -237,7 +240,7 @@
     assert_int_equal(sim.stage_call.kind, INSTALL_PUT);
 }
 
-/* The engine may take an order that got no answer, and then takes what lies there. */
+/* The engine may still accept an order that got no answer, and then loads the staged pieces. */
 static void engine_shutting_down_keeps_a_verified_stage_while_an_order_is_in_doubt(void **state)
 {
     struct sim sim;
@@ -251,8 +254,8 @@
     assert_int_equal(sim.stage_call.kind, INSTALL_READ);
 }
 
-/* A loss of power empties stages, and all loaders are new: a piece that turns bad then is put again
- * at once. */
+/* A loss of power empties all staging areas and restarts all loaders. A piece that the new process
+ * staged and that is corrupted afterwards is put again at once. */
 static void new_process_replaces_its_own_corrupted_piece(void **state)
 {
     static const struct sim_options options = {
@@ -281,24 +284,24 @@
 
 static void each_omitted_rule_is_detected(void **state)
 {
-    assert_true(violates_invariant_with("an unanswered order counts as over", &unanswered_calls,
+    assert_true(violates_invariant_with("unanswered orders count as resolved", &unanswered_calls,
                                         SIM_UNANSWERED_ORDER_IS_OVER));
-    assert_true(violates_invariant_with("an unanswered put counts as over", &unanswered_calls,
+    assert_true(violates_invariant_with("unanswered puts count as resolved", &unanswered_calls,
                                         SIM_UNANSWERED_PUT_IS_OVER));
-    assert_true(violates_invariant_with("earlier processes left nothing", &loader_restart,
+    assert_true(violates_invariant_with("calls of previous processes are ignored", &loader_restart,
                                         SIM_IGNORE_PREDECESSOR));
     assert_true(
         violates_invariant_with("pieces are read back once", &corrupted_pieces, SIM_VERIFY_ONCE));
-    assert_true(violates_invariant_with("starts of an engine look alike",
+    assert_true(violates_invariant_with("starts of an engine are indistinguishable",
                                         &engine_restarts_unnoticed, SIM_IDENTICAL_ENGINE_STARTS));
-    assert_true(violates_invariant_with("readings outlive the engine", &engine_replacement,
+    assert_true(violates_invariant_with("verification outlives the engine", &engine_replacement,
                                         SIM_VERIFICATION_OUTLIVES_ENGINE));
 }
 
-/* --- random walks, beyond what can be visited whole ----------------------------------------------
- */
+/* --- random walks, for state spaces too large to explore -------------------------------------- */
 
-/* SHUNTRUN_WALKS sets another number of walks than the short one of a usual run. */
+/* SHUNTRUN_WALKS overrides the number of walks, which is small by default to keep test runs short.
+ */
 static void check_walks(const struct sim_options *options, uint64_t steps)
 {
     const char *walks = getenv("SHUNTRUN_WALKS");
@@ -313,7 +316,7 @@
     check_walks(&walk_options, SIM_ENGINE_SHUTS_DOWN);
 }
 
-/* The next start of an engine that left gets the newest version, whole. */
+/* After a shutdown, the next start of the engine gets the newest version. */
 static void random_walks_with_engine_shutdowns_end_with_the_newest_version(void **state)
 {
     struct sim_options options = walk_options;
@@ -321,9 +324,9 @@
     check_walks(&options, SIM_STEP_COUNT);
 }
 
-/* A loader restarted while it filled a stage in part, and two newer versions were named: its last
- * put came after the next process had read all pieces back. */
-static void delayed_put_of_a_previous_process_does_not_mix_versions(void **state)
+/* A loader restarted while its staging area was partly filled, and two newer versions were
+ * announced. Its last put arrived after the next process had read all pieces back. */
+static void delayed_put_of_a_previous_process_does_not_corrupt_weights(void **state)
 {
     struct sim_options options = walk_options;
     options.budget.engine_shutdowns = 1;
@@ -333,22 +336,22 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(unanswered_calls_do_not_mix_versions),
-        cmocka_unit_test(loader_restart_does_not_mix_versions),
+        cmocka_unit_test(unanswered_calls_do_not_corrupt_weights),
+        cmocka_unit_test(loader_restart_does_not_corrupt_weights),
         cmocka_unit_test(crashed_engine_loads_only_valid_weights),
         cmocka_unit_test(replaced_engine_loads_only_valid_weights),
         cmocka_unit_test(unnoticed_engine_restart_loads_only_valid_weights),
         cmocka_unit_test(engine_shutting_down_gets_no_order),
         cmocka_unit_test(engine_shutting_down_gets_no_new_pieces),
         cmocka_unit_test(engine_shutting_down_keeps_a_verified_stage_while_an_order_is_in_doubt),
-        cmocka_unit_test(power_loss_does_not_mix_versions),
+        cmocka_unit_test(power_loss_does_not_corrupt_weights),
         cmocka_unit_test(corrupted_piece_is_not_loaded),
         cmocka_unit_test(engine_with_requests_is_ordered_at_its_scheduled_time),
         cmocka_unit_test(new_process_replaces_its_own_corrupted_piece),
         cmocka_unit_test(each_omitted_rule_is_detected),
         cmocka_unit_test(random_walks_end_with_the_newest_version),
         cmocka_unit_test(random_walks_with_engine_shutdowns_end_with_the_newest_version),
-        cmocka_unit_test(delayed_put_of_a_previous_process_does_not_mix_versions),
+        cmocka_unit_test(delayed_put_of_a_previous_process_does_not_corrupt_weights),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/weight_install_walk.h
+++ b/tests/core/weight_install_walk.h
@@ -1,6 +1,6 @@
 /**
- * Random walks through the worlds of weight_install_sim.h, followed by calm, at the end of which
- * the engine has to have the newest version, whole.
+ * Random walks through the states of weight_install_sim.h, followed by a phase without failures, at
+ * the end of which the engine must run the newest version with valid weights.
  */
 #ifndef SHUNTRUN_WEIGHT_INSTALL_WALK_H
 #define SHUNTRUN_WEIGHT_INSTALL_WALK_H
@@ -10,8 +10,8 @@
 #include "weight_install_sim.h"
 
 #define WALK_STEPS 300
-/** Steps within which an engine without further failures has the newest version: all calls in doubt
- *  live for 6 units of time, and each unit takes some dozen steps. */
+/** Rounds without failures within which the engine runs the newest version: each round is one unit
+ * of time and some dozen steps, and the lifetime of calls in doubt is 6 units. */
 #define FAILURE_FREE_ROUNDS_MAX 60
 
 static const struct sim_options walk_options = {.budget = {.ticks = 60,
@@ -27,7 +27,8 @@
                                                 .prompt_stage_calls = true,
                                                 .stale_reports = true};
 
-/* What is under way is answered, reports come, time passes; an engine that leaves has ended. */
+/* Calls under way are answered, reports delivered, and one unit of time passes. An engine that is
+ * shutting down restarts first. */
 static void run_failure_free_round(struct sim *sim, const struct sim_options *options)
 {
     if (sim->engine.leaving) {
@@ -44,7 +45,7 @@
     sim_step(sim, options, SIM_TIME_PASSES);
 }
 
-/* \param steps those that may come are the first ones of enum sim_step */
+/* \param steps number of values of enum sim_step, from the first, that may be drawn */
 static void run_walk(struct sim *sim, const struct sim_options *options, uint64_t steps,
                      uint64_t seed)
 {
@@ -64,7 +65,8 @@
     run_walk(&sim, options, steps, seed);
     if (sim.violated || sim.engine.version != sim.announced_version)
         print_message("seed %llu: %s, version %llu of %llu\n", (unsigned long long)seed,
-                      sim.violated ? "not whole" : "whole", (unsigned long long)sim.engine.version,
+                      sim.violated ? "invariant violated" : "invariant held",
+                      (unsigned long long)sim.engine.version,
                       (unsigned long long)sim.announced_version);
     assert_false(sim.violated);
     assert_int_equal(sim.engine.version, sim.announced_version);
