--- a/src/edge/backend_states.c
+++ b/src/edge/backend_feedback.c
@@ -1,4 +1,4 @@
-#include "edge/backend_states.h"
+#include "edge/backend_feedback.h"
 
 #include "base/log.h"
 #include "base/metrics.h"
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Another back end stands at the address now: it speaks for itself alone. */
-static bool is_of_another(const struct backend *backend, const struct answer_head *head)
+static bool is_from_other_instance(const struct backend *backend, const struct answer_head *head)
 {
     return head->instance[0] && strcmp(head->instance, backend->listing.id) != 0;
 }
@@ -33,13 +33,14 @@
               backend->in_flight);
 }
 
-void backend_states(struct edge *edge, struct backend *backend, const struct answer_head *head)
+void backend_feedback_from_response(struct edge *edge, struct backend *backend,
+                                    const struct answer_head *head)
 {
     uint64_t now = cluster_now();
     if (head->unreadable)
         log_event(LOG_LEVEL_WARN, "backend", "unreadable-field", "id=%s request=%s field=%s",
                   backend->listing.id, head->request_id, head->unreadable);
-    if (is_of_another(backend, head))
+    if (is_from_other_instance(backend, head))
         return;
     struct backend_statement statement = {
         .leaving = head->facts.leaving,
@@ -55,7 +56,8 @@
         log_backoff(backend, head, now);
 }
 
-bool backend_states_load(struct edge *edge, const char *address, const struct backend_load *load)
+bool backend_feedback_from_load(struct edge *edge, const char *address,
+                                const struct backend_load *load)
 {
     const struct backend *before = backend_pool_find_address(edge->pool, address);
     bool known = before && (before->leaving || before->load.leaving);
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -6,7 +6,7 @@
 #include "cluster/crash_page.h"
 #include "core/attempt_rule.h"
 #include "core/hash.h"
-#include "edge/backend_states.h"
+#include "edge/backend_feedback.h"
 #include "edge/crash_watch.h"
 #include "edge/edge_internal.h"
 #include "weights/weight_relay.h"
@@ -18,29 +18,29 @@
 /** Time between looks at what is due by time alone. */
 #define TICK_MS 100
 /** The same while this node does not know most of the members: its relay waits for that. */
-#define FIRST_TICK_MS 25
+#define STARTUP_TICK_MS 25
 /** Questions for addresses and readiness have no body worth reading. */
 #define SERVICE_BODY_LIMIT 4096
 /** Three reports of a loader to other regions, which it sends each 0.4 s, and some delay. */
-#define LOAD_FRESH_US 1500000
+#define LOAD_MAX_AGE_US 1500000
 /** Two reports of a loader to its own region, which it sends three times a second at least, and
  * some delay: what stands still after that is its machine, or the way there. */
-#define NEAR_LOAD_FRESH_US 750000
+#define NEAR_LOAD_MAX_AGE_US 750000
 /** The list may drop back ends that live, which then list themselves again; one that leaves without
  * a word serves on for longer than this. */
-#define UNLISTED_MOST_US 1400000
+#define UNLISTED_MAX_US 1400000
 /** So long before the bound on leaving a back end gets nothing more: news take 0.2 s from one call
  * to the store to the next, 0.2 s more when it is slow, and requests some time on their way. */
 #define DRAIN_MARGIN_US 600000
 /** A planned stop: new requests are taken for so long, as clients keep an address for up to three
  * times its age; what is in progress then still has time to finish. */
-#define STOP_ACCEPT_US 3200000
+#define STOP_ACCEPT_PERIOD_US 3200000
 /** So long before the end of the grace time the process ends whatever is in progress. */
 #define STOP_MARGIN_US 500000
 
 static void on_item(void *context, const struct state_item *item)
 {
-    edge_take_item(context, item);
+    edge_apply_item(context, item);
 }
 
 static void on_load(void *context, const Shuntrun__EngineLoad *news)
@@ -60,8 +60,8 @@
         .turn_ms = news->turn_ms,
         .leaving = news->leaving,
     };
-    if (backend_states_load(edge, news->address, &load) && edge->waiting)
-        exchange_dispatch_waiting(edge);
+    if (backend_feedback_from_load(edge, news->address, &load) && edge->queue)
+        exchange_dispatch_queued(edge);
 }
 
 /* Other nodes ask for weights. */
@@ -78,22 +78,22 @@
     struct edge *edge = context;
     if (wake->pause_us > WAKE_LONG_US)
         upstream_close_idle(edge);
-    edge_client_look_at_time(edge);
+    edge_client_recheck_deadlines(edge);
 }
 
 static void on_suspects_changed(void *context)
 {
-    edge_client_end_blocked(context);
-    exchange_dispatch_waiting(context);
+    edge_client_fail_blocked(context);
+    exchange_dispatch_queued(context);
 }
 
 /* --- readiness
  */
 
-static void on_directory_call(void *context, struct service_call *call,
-                              const struct service_request *request)
+static void on_directory_request(void *context, struct service_call *call,
+                                 const struct service_request *request)
 {
-    edge_answer_addresses(context, call, request);
+    edge_respond_with_addresses(context, call, request);
 }
 
 static bool is_ready(const struct edge *edge)
@@ -101,8 +101,8 @@
     return edge->table && !edge->stopping_since;
 }
 
-static void on_ready_call(void *context, struct service_call *call,
-                          const struct service_request *request)
+static void on_readiness_request(void *context, struct service_call *call,
+                                 const struct service_request *request)
 {
     struct edge *edge = context;
     bool known = platform_call_of(request->method, request->target, request->target_length) ==
@@ -119,26 +119,26 @@
     uint32_t known = 1;
     for (uint32_t i = 0; i < membership_count(edge->cluster.membership); i++)
         known += membership_at(edge->cluster.membership, i)->role == MEMBER_GATEWAY;
-    if (known > edge->gateways_most)
-        edge->gateways_most = known;
+    if (known > edge->max_gateways)
+        edge->max_gateways = known;
 }
 
 /* Take no more: a request that comes now might not be finished in time. */
 static void stop_accepting(struct edge *edge)
 {
-    if (edge->closed)
+    if (edge->listener_closed)
         return;
-    edge->closed = true;
+    edge->listener_closed = true;
     log_event(LOG_LEVEL_INFO, "process", "closed-to-clients", "active=%u", edge->active);
     uv_close((uv_handle_t *)&edge->listener, NULL);
     edge_client_close_idle(edge);
 }
 
-static void consider_end(struct edge *edge, uint64_t now)
+static void stop_if_drained(struct edge *edge, uint64_t now)
 {
     uint64_t grace = edge->settings->stop_grace_s * 1000000;
     uint64_t since = now - edge->stopping_since;
-    if (since < STOP_ACCEPT_US)
+    if (since < STOP_ACCEPT_PERIOD_US)
         return;
     stop_accepting(edge);
     if (edge->active == 0 || since + STOP_MARGIN_US > grace) {
@@ -156,8 +156,8 @@
     edge->last_tick = now;
     if (paused)
         return;
-    upstream_sweep(edge, now);
-    edge_client_sweep(edge, now);
+    upstream_close_expired(edge, now);
+    edge_client_close_expired(edge, now);
 }
 
 static void on_tick(uv_timer_t *timer)
@@ -167,17 +167,17 @@
     count_gateways(edge);
     weight_relay_tick(edge->relay, now);
     crash_watch_tick(edge, now);
-    edge_client_end_blocked(edge);
+    edge_client_fail_blocked(edge);
     backend_pool_settle(edge->pool, cluster_store_is_sound(&edge->cluster), now);
     sweep_connections(edge, now);
-    exchange_dispatch_waiting(edge);
+    exchange_dispatch_queued(edge);
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, edge->active);
     metric_gauge_set(METRIC_BACKENDS, backend_pool_count(edge->pool));
     metric_gauge_set(METRIC_STATE_REVISION, state_cache_revision(edge->cluster.state));
-    metric_gauge_set(METRIC_WAITING_REQUESTS, exchange_waiting_count(edge));
+    metric_gauge_set(METRIC_WAITING_REQUESTS, exchange_queue_length(edge));
     if (edge->stopping_since)
-        consider_end(edge, now);
-    uv_timer_set_repeat(timer, edge->cluster.started ? TICK_MS : FIRST_TICK_MS);
+        stop_if_drained(edge, now);
+    uv_timer_set_repeat(timer, edge->cluster.started ? TICK_MS : STARTUP_TICK_MS);
 }
 
 static void on_stop(struct process *process)
@@ -212,8 +212,8 @@
                   edge->settings->client_address);
         return 2;
     }
-    edge->directory = open_service(edge, edge->settings->directory_address, on_directory_call);
-    edge->readiness = open_service(edge, edge->settings->ready_address, on_ready_call);
+    edge->directory = open_service(edge, edge->settings->directory_address, on_directory_request);
+    edge->readiness = open_service(edge, edge->settings->ready_address, on_readiness_request);
     int error = tcp_listen(edge->loop, &edge->listener, &address, edge_client_accept, edge);
     if (error || !edge->directory || !edge->readiness) {
         log_event(LOG_LEVEL_ERROR, "edge", "listen-failed", "address=%s error=\"%s\"",
@@ -225,15 +225,15 @@
 
 /* What leaves serves on for the bound, from when its list knows: that is some time before this
  * gateway does. */
-static uint64_t serves_on_us(const struct settings *settings)
+static uint64_t drain_usable_us(const struct settings *settings)
 {
     return settings->drain_bound_ms * 1000 - DRAIN_MARGIN_US;
 }
 
-static uint64_t unlisted_us(const struct settings *settings)
+static uint64_t unlisted_usable_us(const struct settings *settings)
 {
-    uint64_t bound = serves_on_us(settings);
-    return bound < UNLISTED_MOST_US ? bound : UNLISTED_MOST_US;
+    uint64_t bound = drain_usable_us(settings);
+    return bound < UNLISTED_MAX_US ? bound : UNLISTED_MAX_US;
 }
 
 static int edge_run(struct edge *edge, const struct settings *settings)
@@ -247,10 +247,10 @@
     struct backend_pool_settings pool = {.queue_per_engine = (uint32_t)settings->engine_queue,
                                          .tokens_per_engine =
                                              (uint32_t)settings->engine_unread_tokens,
-                                         .load_fresh_us = LOAD_FRESH_US,
-                                         .near_fresh_us = NEAR_LOAD_FRESH_US,
-                                         .unlisted_us = unlisted_us(settings),
-                                         .serves_on_us = serves_on_us(settings),
+                                         .load_fresh_us = LOAD_MAX_AGE_US,
+                                         .near_fresh_us = NEAR_LOAD_MAX_AGE_US,
+                                         .unlisted_us = unlisted_usable_us(settings),
+                                         .serves_on_us = drain_usable_us(settings),
                                          .created = cluster_now()};
     edge->settings = settings;
     edge->loop = uv_default_loop();
@@ -259,7 +259,7 @@
     edge->pool = backend_pool_create(&pool, edge->random.seed + 1);
     edge->relay = weight_relay_create(&edge->cluster);
     edge->gateways = 1;
-    edge->gateways_most = (uint32_t)settings->least_gateways;
+    edge->max_gateways = (uint32_t)settings->least_gateways;
     int result = open_listeners(edge);
     if (result)
         return result;
--- a/src/edge/edge_addresses.c
+++ b/src/edge/edge_addresses.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 /** Callers take no more. */
-#define ADDRESSES_MOST 64
+#define MAX_CALLER_ADDRESSES 64
 /** For which callers may keep the answer; some keep it three times as long. */
-#define ADDRESS_AGE_S 1.0
+#define ADDRESS_MAX_AGE_S 1.0
 
 struct address_list {
-    char texts[ADDRESSES_MOST][BACKEND_ADDRESS_SIZE];
-    const char *pointers[ADDRESSES_MOST];
+    char texts[MAX_CALLER_ADDRESSES][BACKEND_ADDRESS_SIZE];
+    const char *pointers[MAX_CALLER_ADDRESSES];
     uint32_t count;
 };
 
@@ -19,7 +19,7 @@
 {
     struct in_addr ip = {htonl(member->address)};
     char text[INET_ADDRSTRLEN];
-    if (list->count == ADDRESSES_MOST || !member->traffic_port)
+    if (list->count == MAX_CALLER_ADDRESSES || !member->traffic_port)
         return;
     inet_ntop(AF_INET, &ip, text, sizeof text);
     snprintf(list->texts[list->count], BACKEND_ADDRESS_SIZE, "%s:%u", text, member->traffic_port);
@@ -27,34 +27,34 @@
     list->count++;
 }
 
-/* Gateways that take new clients, as far as `place` wants them. */
-static void collect_addresses(struct edge *edge, const struct address_question *place,
+/* Gateways that take new clients, as far as `question` wants them. */
+static void collect_addresses(struct edge *edge, const struct address_question *question,
                               bool same_zone, struct address_list *list)
 {
     struct membership *members = edge->cluster.membership;
     const struct member_state *self = membership_self(members);
-    if (!edge->stopping_since && (!same_zone || strcmp(self->zone, place->zone) == 0))
+    if (!edge->stopping_since && (!same_zone || strcmp(self->zone, question->zone) == 0))
         add_address(list, self);
     for (uint32_t i = 0; i < membership_count(members); i++) {
         const struct member_state *member = membership_at(members, i);
         if (member->role == MEMBER_GATEWAY && !member->draining && member_is_trusted(member) &&
-            (!same_zone || strcmp(member->zone, place->zone) == 0))
+            (!same_zone || strcmp(member->zone, question->zone) == 0))
             add_address(list, member);
     }
 }
 
-static void choose_addresses(struct edge *edge, const struct address_question *place,
+static void choose_addresses(struct edge *edge, const struct address_question *question,
                              struct address_list *list)
 {
-    collect_addresses(edge, place, true, list);
+    collect_addresses(edge, question, true, list);
     if (!list->count)
-        collect_addresses(edge, place, false, list);
+        collect_addresses(edge, question, false, list);
     if (!list->count)
         add_address(list, membership_self(edge->cluster.membership));
 }
 
-void edge_answer_addresses(struct edge *edge, struct service_call *call,
-                           const struct service_request *request)
+void edge_respond_with_addresses(struct edge *edge, struct service_call *call,
+                                 const struct service_request *request)
 {
     struct address_list list = {.count = 0};
     struct address_question question;
@@ -66,7 +66,7 @@
     }
     platform_read_address_question(request->target, request->target_length, &question);
     choose_addresses(edge, &question, &list);
-    platform_write_addresses(list.pointers, list.count, ADDRESS_AGE_S, &body);
+    platform_write_addresses(list.pointers, list.count, ADDRESS_MAX_AGE_S, &body);
     service_reply(call, 200, "application/json", body.data, body.size);
     buffer_clear(&body);
 }
--- a/src/edge/edge_client.c
+++ b/src/edge/edge_client.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /** Bytes of further requests that may wait behind the present one. */
-#define PIPELINE_LIMIT 262144
+#define PIPELINE_MAX_BYTES 262144
 #define DEFAULT_HEAD_BYTES 16384
 #define DEFAULT_BODY_BYTES 4194304
 #define DEFAULT_HEAD_TIMEOUT_MS 5000
@@ -22,12 +22,12 @@
     struct exchange *exchange;
     bool parsing;
     bool streaming;
-    bool continued;        /* "100 Continue" was sent */
-    uint64_t idle_since;   /* time of the last answer, or of the accept */
-    uint64_t head_started; /* time of the first byte of a request, 0: none */
-    uint64_t heard_at;     /* time of the last bytes */
+    bool continued;            /* "100 Continue" was sent */
+    uint64_t idle_since;       /* time of the last answer, or of the accept */
+    uint64_t head_started;     /* time of the first byte of a request, 0: none */
+    uint64_t last_received_at; /* time of the last bytes */
     struct edge_client *next;
-    struct edge_client **place;
+    struct edge_client **link;
 };
 
 struct edge *edge_client_edge(const struct edge_client *client)
@@ -40,7 +40,7 @@
     return &client->request;
 }
 
-size_t edge_client_pending(const struct edge_client *client)
+size_t edge_client_unsent_bytes(const struct edge_client *client)
 {
     return client->stream ? tcp_stream_pending(client->stream) : 0;
 }
@@ -52,7 +52,7 @@
     client->request.body_limit = table ? route_table_limits(table)->body_bytes : DEFAULT_BODY_BYTES;
 }
 
-static void next_request(struct edge_client *client)
+static void prepare_next_request(struct edge_client *client)
 {
     set_limits(client);
     http_message_begin(&client->request, HTTP_MESSAGE_REQUEST);
@@ -63,9 +63,9 @@
 
 static void client_free(struct edge_client *client)
 {
-    *client->place = client->next;
+    *client->link = client->next;
     if (client->next)
-        client->next->place = client->place;
+        client->next->link = client->link;
     http_message_clear(&client->request);
     buffer_clear(&client->unread);
     free(client);
@@ -77,7 +77,7 @@
         client_free(client);
 }
 
-static void refuse_request(struct edge_client *client, unsigned status)
+static void reject_request(struct edge_client *client, unsigned status)
 {
     struct buffer reply = {0};
     metric_add(METRIC_REQUESTS_BAD, 1);
@@ -119,13 +119,13 @@
             exchange_start(client->exchange);
         break;
     case HTTP_PARSE_MALFORMED:
-        refuse_request(client, 400);
+        reject_request(client, 400);
         break;
     case HTTP_PARSE_HEAD_SIZE:
-        refuse_request(client, 431);
+        reject_request(client, 431);
         break;
     case HTTP_PARSE_BODY_SIZE:
-        refuse_request(client, 413);
+        reject_request(client, 413);
         break;
     }
 }
@@ -145,11 +145,11 @@
 static void on_received(void *context, const char *bytes, size_t size)
 {
     struct edge_client *client = context;
-    client->heard_at = cluster_now();
+    client->last_received_at = cluster_now();
     buffer_append(&client->unread, bytes, size);
     if (!client->exchange)
         parse(client);
-    else if (client->unread.size > PIPELINE_LIMIT)
+    else if (client->unread.size > PIPELINE_MAX_BYTES)
         tcp_stream_pause(client->stream, true);
 }
 
@@ -161,7 +161,7 @@
     client->stream = NULL;
     client->exchange = NULL;
     if (exchange)
-        exchange_abandon(exchange);
+        exchange_cancel(exchange);
     free_when_done(client);
 }
 
@@ -178,11 +178,11 @@
     struct edge_client *client = memory_zero(1, sizeof *client);
     client->edge = edge;
     client->next = edge->clients;
-    client->place = &edge->clients;
+    client->link = &edge->clients;
     if (client->next)
-        client->next->place = &client->next;
+        client->next->link = &client->next;
     edge->clients = client;
-    next_request(client);
+    prepare_next_request(client);
     client->stream = tcp_stream_accept(listener, &stream_callbacks, client);
     free_when_done(client);
 }
@@ -193,7 +193,7 @@
 }
 
 /* The answer is out: go on with the next request, or close. */
-static void answered(struct edge_client *client, bool keep)
+static void finish_response(struct edge_client *client, bool keep)
 {
     client->exchange = NULL;
     if (!client->stream) {
@@ -206,27 +206,27 @@
         free_when_done(client);
         return;
     }
-    next_request(client);
+    prepare_next_request(client);
     tcp_stream_pause(client->stream, false);
     if (!client->parsing && client->unread.size)
         parse(client);
 }
 
-void edge_client_answer(struct edge_client *client, const struct buffer *head, const void *body,
-                        size_t size)
+void edge_client_send_response(struct edge_client *client, const struct buffer *head,
+                               const void *body, size_t size)
 {
-    struct buffer answer = {0};
+    struct buffer response = {0};
     bool keep = keeps_connection(client);
     if (client->stream) {
-        buffer_append(&answer, head->data, head->size);
-        buffer_append_format(&answer, "Content-Length: %zu\r\n%s\r\n", size,
+        buffer_append(&response, head->data, head->size);
+        buffer_append_format(&response, "Content-Length: %zu\r\n%s\r\n", size,
                              keep ? "" : "Connection: close\r\n");
         if (strcmp(http_message_method(&client->request), "HEAD") != 0)
-            buffer_append(&answer, body, size);
-        tcp_stream_write(client->stream, answer.data, answer.size);
-        buffer_clear(&answer);
+            buffer_append(&response, body, size);
+        tcp_stream_write(client->stream, response.data, response.size);
+        buffer_clear(&response);
     }
-    answered(client, keep);
+    finish_response(client, keep);
 }
 
 void edge_client_stream_begin(struct edge_client *client, const struct buffer *head)
@@ -258,10 +258,10 @@
     client->streaming = false;
     if (client->stream)
         tcp_stream_write(client->stream, "0\r\n\r\n", 5);
-    answered(client, keeps_connection(client));
+    finish_response(client, keeps_connection(client));
 }
 
-void edge_client_break(struct edge_client *client)
+void edge_client_abort(struct edge_client *client)
 {
     client->streaming = false;
     client->exchange = NULL;
@@ -283,21 +283,21 @@
     }
 }
 
-void edge_client_end_blocked(struct edge *edge)
+void edge_client_fail_blocked(struct edge *edge)
 {
     for (struct edge_client *client = edge->clients, *next; client; client = next) {
         next = client->next;
         if (client->exchange)
-            exchange_end_if_blocked(client->exchange);
+            exchange_fail_if_blocked(client->exchange);
     }
 }
 
-void edge_client_look_at_time(struct edge *edge)
+void edge_client_recheck_deadlines(struct edge *edge)
 {
     for (struct edge_client *client = edge->clients, *next; client; client = next) {
         next = client->next;
         if (client->exchange)
-            exchange_look_at_time(client->exchange);
+            exchange_recheck_deadlines(client->exchange);
     }
 }
 
@@ -310,17 +310,17 @@
         return now > client->idle_since + idle_ms * 1000;
     if (!client->request.head_complete)
         return now > client->head_started + head_ms * 1000;
-    return now > client->heard_at + idle_ms * 1000; /* a long body may come slowly */
+    return now > client->last_received_at + idle_ms * 1000; /* a long body may come slowly */
 }
 
-void edge_client_sweep(struct edge *edge, uint64_t now)
+void edge_client_close_expired(struct edge *edge, uint64_t now)
 {
     for (struct edge_client *client = edge->clients, *next; client; client = next) {
         next = client->next;
         if (client->exchange || !client->stream || !is_overdue(client, now))
             continue;
         if (client->head_started) {
-            refuse_request(client, 408);
+            reject_request(client, 408);
         } else {
             tcp_stream_close(client->stream);
             client->stream = NULL;
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -13,14 +13,14 @@
 /** Time before the bound on old versions at which they get no new work. */
 #define VERSION_MARGIN_US 1100000
 /** The first news of this life say nothing of when they became true. */
-#define FIRST_NEWS_US 1500000
+#define STARTUP_STATE_US 1500000
 
 struct service_state *edge_service(struct edge *edge, const char *service)
 {
     for (uint32_t i = 0; i < edge->service_count; i++)
         if (strcmp(edge->services[i].service, service) == 0)
             return &edge->services[i];
-    if (edge->service_count == EDGE_SERVICES_MOST)
+    if (edge->service_count == EDGE_MAX_SERVICES)
         return &edge->services[0];
     struct service_state *state = &edge->services[edge->service_count++];
     struct repeat_budget_settings settings = {
@@ -39,18 +39,18 @@
     for (uint32_t i = 0; i < edge->route_count; i++)
         if (edge->routes[i].route == name)
             return &edge->routes[i].times;
-    if (edge->route_count == EDGE_ROUTES_MOST)
+    if (edge->route_count == EDGE_MAX_ROUTES)
         return NULL;
     struct route_times *times = &edge->routes[edge->route_count++];
     times->route = name;
-    if (edge->route_count == EDGE_ROUTES_MOST)
-        log_event(LOG_LEVEL_WARN, "edge", "too-many-routes", "most=%d route=%s", EDGE_ROUTES_MOST,
+    if (edge->route_count == EDGE_MAX_ROUTES)
+        log_event(LOG_LEVEL_WARN, "edge", "too-many-routes", "most=%d route=%s", EDGE_MAX_ROUTES,
                   route);
     return &times->times;
 }
 
 /* The relay reads weights from where the configuration says. */
-static void tell_origin(struct edge *edge)
+static void update_relay_origin(struct edge *edge)
 {
     struct sockaddr_in address;
     for (uint32_t i = 0; i < route_table_service_count(edge->table); i++) {
@@ -60,7 +60,7 @@
     }
 }
 
-static void drop_listing(struct edge *edge, const char *id, const struct state_item *item)
+static void unlist_backend(struct edge *edge, const char *id, const struct state_item *item)
 {
     uint64_t now = cluster_now();
     struct backend_drop drop = {item->learned, item->from_outage};
@@ -76,51 +76,51 @@
 
 /* An entry that names no back end to use is taken like one that went: it may have been good before,
  * and whoever it stood for may have left. */
-static void refuse_backend(struct edge *edge, const char *id, const struct state_item *item,
+static void reject_backend(struct edge *edge, const char *id, const struct state_item *item,
                            const char *problem)
 {
     metric_add(METRIC_ENTRIES_REFUSED, 1);
     log_event(LOG_LEVEL_ERROR, "backend", "refused",
               "id=%s revision=%" PRIu64 " bytes=%zu problem=\"%s\"", id, item->revision, item->size,
               problem);
-    drop_listing(edge, id, item);
+    unlist_backend(edge, id, item);
 }
 
-static bool is_service_named(const struct edge *edge, const char *service)
+static bool is_service_configured(const struct edge *edge, const char *service)
 {
     return !edge->table || route_table_find_service(edge->table, service) != ROUTE_NO_SERVICE;
 }
 
 /* \return since when an entry says what it says; 0: that is not known, as it was taken over whole,
  * or came while the list's keeper failed */
-static uint64_t time_of_news(const struct edge *edge, const struct state_item *item)
+static uint64_t change_time(const struct edge *edge, const struct state_item *item)
 {
-    bool at_start = cluster_now() < edge->started + FIRST_NEWS_US;
+    bool at_start = cluster_now() < edge->started + STARTUP_STATE_US;
     return at_start || !cluster_store_is_sound(&edge->cluster) ? 0 : item->learned;
 }
 
-static void take_backend(struct edge *edge, const char *id, const struct state_item *item)
+static void apply_backend(struct edge *edge, const char *id, const struct state_item *item)
 {
     struct backend_listing listing;
     if (item->gone) {
-        drop_listing(edge, id, item);
+        unlist_backend(edge, id, item);
         return;
     }
     if (platform_parse_backend(id, item->value ? item->value : "", item->size, &listing) !=
         STATUS_OK) {
-        refuse_backend(edge, id, item, status_message());
+        reject_backend(edge, id, item, status_message());
         return;
     }
     /* It may stand at the address of another one; a later configuration may name its service. */
-    if (!is_service_named(edge, listing.service)) {
-        edge->unnamed_services = true;
-        refuse_backend(edge, id, item, "its service is not configured");
+    if (!is_service_configured(edge, listing.service)) {
+        edge->has_unconfigured_services = true;
+        reject_backend(edge, id, item, "its service is not configured");
         return;
     }
     struct backend *backend =
         backend_pool_list(edge->pool, &listing, cluster_distance(&edge->cluster, listing.zone));
     if (backend->listing.draining)
-        backend_note_leaving(backend, time_of_news(edge, item));
+        backend_note_leaving(backend, change_time(edge, item));
     log_event(LOG_LEVEL_INFO, "backend", "listed",
               "id=%s born=%" PRIu64 " service=%s address=%s zone=%s draining=%d weights=%" PRIu64
               " revision=%" PRIu64 " sequence=%" PRIu64 " age_ms=%" PRIu64
@@ -132,19 +132,19 @@
 }
 
 /* Entries whose service was not configured yet. */
-static void take_backends_again(struct edge *edge)
+static void reapply_backends(struct edge *edge)
 {
     const struct state_cache *state = edge->cluster.state;
-    edge->unnamed_services = false;
+    edge->has_unconfigured_services = false;
     for (uint32_t i = 0; i < state_cache_count(state); i++) {
         char id[PLATFORM_TEXT_SIZE];
         const struct state_item *item = state_cache_at(state, i);
         if (!item->gone && platform_item_kind(item->key, id, sizeof id) == ITEM_BACKEND)
-            take_backend(edge, id, item);
+            apply_backend(edge, id, item);
     }
 }
 
-static void take_configuration(struct edge *edge, const struct state_item *item)
+static void apply_configuration(struct edge *edge, const struct state_item *item)
 {
     struct findings findings = {0};
     struct route_table *table = platform_parse_configuration(item->value, item->size, &findings);
@@ -163,12 +163,12 @@
     metric_gauge_set(METRIC_CONFIG_REVISION, route_table_version(table));
     route_table_release(edge->table);
     edge->table = table;
-    tell_origin(edge);
-    if (edge->unnamed_services)
-        take_backends_again(edge);
+    update_relay_origin(edge);
+    if (edge->has_unconfigured_services)
+        reapply_backends(edge);
 }
 
-static void take_version(struct edge *edge, const char *model, const struct state_item *item)
+static void apply_version(struct edge *edge, const char *model, const struct state_item *item)
 {
     uint64_t now = cluster_now();
     uint64_t version;
@@ -180,30 +180,30 @@
     }
     uint64_t bound = edge->settings->version_bound_ms * 1000;
     uint64_t named = item->learned;
-    if (now < edge->started + FIRST_NEWS_US && now - named < 100000)
+    if (now < edge->started + STARTUP_STATE_US && now - named < 100000)
         named = now > bound ? now - bound / 2 : 0; /* it may be old news */
     log_event(LOG_LEVEL_INFO, "weights", "version-named",
               "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version, (now - named) / 1000);
     version_bounds_name(&edge->versions, model, version, named + bound - VERSION_MARGIN_US);
 }
 
-void edge_take_item(struct edge *edge, const struct state_item *item)
+void edge_apply_item(struct edge *edge, const struct state_item *item)
 {
     char name[PLATFORM_TEXT_SIZE];
     switch (platform_item_kind(item->key, name, sizeof name)) {
     case ITEM_CONFIGURATION:
         if (!item->gone)
-            take_configuration(edge, item);
+            apply_configuration(edge, item);
         break;
     case ITEM_BACKEND:
-        take_backend(edge, name, item);
+        apply_backend(edge, name, item);
         break;
     case ITEM_VERSION:
         if (!item->gone)
-            take_version(edge, name, item);
+            apply_version(edge, name, item);
         break;
     case ITEM_OTHER:
         break;
     }
-    exchange_dispatch_waiting(edge);
+    exchange_dispatch_queued(edge);
 }
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -10,15 +10,15 @@
 
 /** Time after which a refused client may come back when no engine serves at all: that takes seconds
  *  to end, and clients wait for a third of their time at most, 2.0 s of 6. */
-#define ABSENT_RETRY_MS 1700
-#define ABSENT_SPREAD_MS 500
+#define NO_BACKEND_RETRY_MS 1700
+#define NO_BACKEND_RETRY_SPREAD_MS 500
 /** Callers come back spread over so long after the end of a time in which no back end wants
  * requests: each back end gets one request from a gateway first, which takes about as long to show
  * that it works. */
-#define BACKOFF_SPREAD_MS 500
+#define BACKOFF_RETRY_SPREAD_MS 500
 /** When engines are full. The share moves with some second of requests; a fifth refused means that
  *  engines will be full for a while. */
-static const struct come_back_settings full_settings = {
+static const struct come_back_settings full_retry_settings = {
     .weight = 0.05, .lasting_share = 0.2, .least_ms = 500, .most_ms = 1200, .spread_share = 65};
 
 /* What a caller reads whose request crashes back ends. There is no time to come back: it would
@@ -30,7 +30,7 @@
 /* --- the trail of an exchange, for its one log line
  * ----------------------------------------------- */
 
-void exchange_note(struct exchange *exchange, const char *format, ...)
+void exchange_trail_append(struct exchange *exchange, const char *format, ...)
 {
     size_t room = sizeof exchange->trail - exchange->trail_length;
     va_list arguments;
@@ -41,28 +41,29 @@
         exchange->trail_length += (size_t)length < room ? (size_t)length : room - 1;
 }
 
-void exchange_note_send(struct exchange *exchange, const struct backend *backend, uint64_t now)
+void exchange_trail_append_send(struct exchange *exchange, const struct backend *backend,
+                                uint64_t now)
 {
     const struct edge *edge = exchange->edge;
-    uint64_t age_ms = backend->load_at ? (now - backend->load_at) / MS_US : 0;
-    exchange_note(exchange,
-                  "%s@%" PRIu64 "ms:occupancy=%u,load_age=%" PRIu64
-                  "ms,distance=%u,weights=%" PRIu64,
-                  backend->listing.id, (now - exchange->arrived) / MS_US,
-                  backend_occupancy(edge->pool, backend, now), age_ms, backend->distance,
-                  backend->load.version);
+    uint64_t age_ms = backend->load_at ? (now - backend->load_at) / US_PER_MS : 0;
+    exchange_trail_append(exchange,
+                          "%s@%" PRIu64 "ms:occupancy=%u,load_age=%" PRIu64
+                          "ms,distance=%u,weights=%" PRIu64,
+                          backend->listing.id, (now - exchange->arrived) / US_PER_MS,
+                          backend_occupancy(edge->pool, backend, now), age_ms, backend->distance,
+                          backend->load.version);
 }
 
 static const char *const end_names[] = {
     [END_DONE] = "done",
-    [END_TIME_OUT] = "time-out",
-    [END_FULL] = "full",
+    [END_DEADLINE] = "time-out",
+    [END_BACKENDS_FULL] = "full",
     [END_NO_BACKEND] = "no-backend",
     [END_BACKED_OFF] = "backed-off",
     [END_NO_CONNECTION] = "no-connection",
-    [END_SILENT] = "silent",
-    [END_BROKEN] = "broken",
-    [END_TORN] = "torn",
+    [END_BACKEND_SILENT] = "silent",
+    [END_CONNECTION_BROKEN] = "broken",
+    [END_TRUNCATED_EVENT] = "torn",
     [END_NO_SEAL] = "no-seal",
     [END_REFUSED] = "refused",
     [END_MISDIRECTED] = "misdirected",
@@ -72,16 +73,16 @@
     [END_HELD] = "held",
 };
 
-const char *exchange_end_name(enum exchange_end end)
+const char *end_reason_name(enum end_reason end)
 {
     return end_names[end];
 }
 
 /* A client lost a stream that it was reading. */
-static void count_cut(enum exchange_end reason)
+static void count_cut_stream(enum end_reason reason)
 {
     switch (reason) {
-    case END_TIME_OUT:
+    case END_DEADLINE:
         metric_add(METRIC_STREAMS_CUT_TIME, 1);
         break;
     case END_NO_BACKEND:
@@ -91,7 +92,7 @@
     case END_MISDIRECTED:
         metric_add(METRIC_STREAMS_CUT_REFUSED, 1);
         break;
-    case END_SILENT:
+    case END_BACKEND_SILENT:
         metric_add(METRIC_STREAMS_CUT_SILENT, 1);
         break;
     case END_BLOCKED:
@@ -123,7 +124,7 @@
 };
 
 /* That it ended is kept in mind: the end of an engine is not an attempt of its stream. */
-static void forget_first_tried(struct exchange *exchange)
+static void drop_first_tried(struct exchange *exchange)
 {
     exchange->ended_before += tried_has_ended(&exchange->tried[0]);
     backend_release(exchange->tried[0].backend);
@@ -134,10 +135,10 @@
 }
 
 /* Takes over the reference to the back end. */
-static void remember_tried(struct exchange *exchange, struct backend *backend, bool ran)
+static void add_tried(struct exchange *exchange, struct backend *backend, bool ran)
 {
     if (exchange->tried_count == BACKEND_MAX_EXCLUDED)
-        forget_first_tried(exchange);
+        drop_first_tried(exchange);
     exchange->tried[exchange->tried_count++] = (struct tried_backend){backend, ran};
 }
 
@@ -162,20 +163,20 @@
     exchange->backend = NULL;
     if (!backend)
         return;
-    if (!exchange->first_byte_at)
+    if (!exchange->first_byte_received_at)
         backend_answers(backend, exchange->head.tokens_in, 0, now);
-    uint64_t latency = exchange->first_byte_at && !exchange->resuming
-                           ? exchange->first_byte_at - exchange->sent_at
+    uint64_t latency = exchange->first_byte_received_at && !exchange->resuming
+                           ? exchange->first_byte_received_at - exchange->sent_at
                            : 0;
     if (backend_end(exchange->edge->pool, backend, result, latency, now)) {
         metric_add(METRIC_EJECTIONS, 1);
         log_event(LOG_LEVEL_WARN, "backend", "ejected",
                   "id=%s request=%s result=%s failures=%u share=%.2f for_ms=%" PRIu64,
                   backend->listing.id, exchange->head.id, result_names[result], backend->failures,
-                  backend->failure_share, backend->ejection_us / MS_US);
+                  backend->failure_share, backend->ejection_us / US_PER_MS);
     }
-    exchange_note(exchange, ",%s;", result_names[result]);
-    remember_tried(exchange, backend, result == BACKEND_BROKEN);
+    exchange_trail_append(exchange, ",%s;", result_names[result]);
+    add_tried(exchange, backend, result == BACKEND_BROKEN);
 }
 
 /* A cut stream is a kind of its own: the lines of a kind are bounded, and many refusals must not
@@ -187,7 +188,7 @@
     return exchange->streaming ? "cut" : "failed";
 }
 
-void exchange_log_end(const struct exchange *exchange, unsigned status, enum exchange_end reason,
+void exchange_log_end(const struct exchange *exchange, unsigned status, enum end_reason reason,
                       const struct backend *backend)
 {
     uint64_t now = cluster_now();
@@ -199,30 +200,30 @@
         " waiting=%d trail=\"%s\"",
         exchange->head.id, exchange->route->name, exchange->service->name, status,
         end_names[reason], backend ? backend->listing.id : "-", exchange->sends,
-        exchange->events.events, exchange->version, (now - exchange->arrived) / MS_US,
-        ((int64_t)exchange->final_at - (int64_t)now) / (int64_t)MS_US,
-        route_table_version(exchange->table), exchange->in_line, exchange->trail);
+        exchange->events.events, exchange->version, (now - exchange->arrived) / US_PER_MS,
+        ((int64_t)exchange->deadline_at - (int64_t)now) / (int64_t)US_PER_MS,
+        route_table_version(exchange->table), exchange->is_queued, exchange->trail);
 }
 
 void exchange_finish(struct exchange *exchange)
 {
     struct edge *edge = exchange->edge;
-    exchange_leave_line(exchange);
+    exchange_dequeue(exchange);
     exchange_end_attempt(exchange, BACKEND_CANCELLED);
     edge->active--;
     uv_close((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
 
-uint32_t exchange_absent_retry_ms(struct edge *edge)
+uint32_t exchange_no_backend_retry_ms(struct edge *edge)
 {
-    return ABSENT_RETRY_MS + (uint32_t)random_below(&edge->random, ABSENT_SPREAD_MS);
+    return NO_BACKEND_RETRY_MS + (uint32_t)random_below(&edge->random, NO_BACKEND_RETRY_SPREAD_MS);
 }
 
-void exchange_count_place(struct exchange *exchange, bool found)
+void exchange_record_slot_result(struct exchange *exchange, bool found)
 {
-    come_back_count(&exchange->state_of_service->come_back, &full_settings, !found);
-    if (!exchange->returned)
-        overload_count(&exchange->state_of_service->overload, !found, cluster_now());
+    come_back_count(&exchange->service_state->come_back, &full_retry_settings, !found);
+    if (!exchange->is_client_retry)
+        overload_count(&exchange->service_state->overload, !found, cluster_now());
 }
 
 static uint32_t retry_after_ms(struct exchange *exchange)
@@ -234,16 +235,17 @@
     if (held_until > backoff_end)
         backoff_end = held_until;
     if (backoff_end)
-        return (uint32_t)((backoff_end - now) / MS_US) + 1 +
-               (uint32_t)random_below(&edge->random, BACKOFF_SPREAD_MS);
+        return (uint32_t)((backoff_end - now) / US_PER_MS) + 1 +
+               (uint32_t)random_below(&edge->random, BACKOFF_RETRY_SPREAD_MS);
     if (exchange->no_backend)
-        return exchange_absent_retry_ms(edge);
-    return come_back_ms(&exchange->state_of_service->come_back, &full_settings,
+        return exchange_no_backend_retry_ms(edge);
+    return come_back_ms(&exchange->service_state->come_back, &full_retry_settings,
                         random_unit(&edge->random));
 }
 
-void exchange_answer_own(struct edge *edge, struct edge_client *client, const char *request_id,
-                         unsigned status, uint32_t wait_ms, const char *text)
+void exchange_send_local_response(struct edge *edge, struct edge_client *client,
+                                  const char *request_id, unsigned status, uint32_t wait_ms,
+                                  const char *text)
 {
     struct buffer head = {0};
     buffer_append_format(&head, "HTTP/1.1 %u %s\r\n", status,
@@ -251,12 +253,12 @@
     platform_write_own_answer(request_id, wait_ms, &head);
     if (text[0])
         buffer_append_text(&head, "Content-Type: text/plain\r\n");
-    edge_client_answer(client, &head, text, strlen(text));
+    edge_client_send_response(client, &head, text, strlen(text));
     buffer_clear(&head);
 }
 
 /* The final answer is one of this system's own. */
-void exchange_give_up(struct exchange *exchange, unsigned status, enum exchange_end reason)
+void exchange_fail(struct exchange *exchange, unsigned status, enum end_reason reason)
 {
     struct edge_client *client = exchange->client;
     struct edge *edge = exchange->edge;
@@ -265,33 +267,33 @@
     if (reason == END_BLOCKED)
         metric_add(METRIC_REQUESTS_BLOCKED, 1);
     if (exchange->streaming) {
-        count_cut(reason);
+        count_cut_stream(reason);
         exchange_finish(exchange);
-        edge_client_break(client);
+        edge_client_abort(client);
         return;
     }
     char id[PLATFORM_TEXT_SIZE];
     uint32_t wait_ms = status == 503 && reason != END_BLOCKED ? retry_after_ms(exchange) : 0;
     memcpy(id, exchange->head.id, sizeof id);
     exchange_finish(exchange);
-    exchange_answer_own(edge, client, id, status, wait_ms,
-                        reason == END_BLOCKED ? BLOCKED_TEXT : "");
+    exchange_send_local_response(edge, client, id, status, wait_ms,
+                                 reason == END_BLOCKED ? BLOCKED_TEXT : "");
 }
 
 /* Nothing has run: say so, or admit that it is not known. */
-void exchange_give_up_truly(struct exchange *exchange, enum exchange_end reason)
+void exchange_fail_by_run_state(struct exchange *exchange, enum end_reason reason)
 {
-    exchange_give_up(exchange, exchange->may_have_run ? 502 : 503, reason);
+    exchange_fail(exchange, exchange->may_have_run ? 502 : 503, reason);
 }
 
-void exchange_abandon(struct exchange *exchange)
+void exchange_cancel(struct exchange *exchange)
 {
     metric_add(METRIC_CLIENTS_GONE, 1);
     log_event(LOG_LEVEL_INFO, "request", "client-gone",
               "request=%s route=%s backend=%s sends=%u took_ms=%" PRIu64, exchange->head.id,
               exchange->route->name, exchange->backend ? exchange->backend->listing.id : "-",
-              exchange->sends, (cluster_now() - exchange->arrived) / MS_US);
+              exchange->sends, (cluster_now() - exchange->arrived) / US_PER_MS);
     struct edge *edge = exchange->edge;
     exchange_finish(exchange);
-    exchange_dispatch_waiting(edge);
+    exchange_dispatch_queued(edge);
 }
--- a/src/edge/exchange_internal.h
+++ b/src/edge/exchange_internal.h
@@ -9,29 +9,29 @@
 #include "core/request_identity.h"
 #include "edge/edge_internal.h"
 
-#define MS_US ((uint64_t)1000)
+#define US_PER_MS ((uint64_t)1000)
 #define TRAIL_SIZE 320
 /** A client with so many bytes unread stops the back end from sending more. */
-#define CLIENT_PENDING_MOST 262144
+#define CLIENT_UNSENT_MAX_BYTES 262144
 
 /** Why a request ended, or an attempt did. */
-enum exchange_end {
+enum end_reason {
     END_DONE,
-    END_TIME_OUT,       /**< its final answer was due */
-    END_FULL,           /**< no place came free in time */
-    END_NO_BACKEND,     /**< none can take it, or go on with its stream */
-    END_BACKED_OFF,     /**< all that can take it want nothing for longer than it may wait */
-    END_NO_CONNECTION,  /**< not even an attempt to connect could be made */
-    END_SILENT,         /**< the back end sent nothing for too long */
-    END_BROKEN,         /**< the connection broke, or the bytes were no answer */
-    END_TORN,           /**< the answer was complete by its framing, but ended within an event */
-    END_NO_SEAL,        /**< an answer that its back end did not sign */
-    END_REFUSED,        /**< the back end did not run it */
-    END_MISDIRECTED,    /**< another back end stands there, or it has other weights */
-    END_RESUME_REFUSED, /**< another answer than the rest of a stream */
-    END_BACKEND_ERROR,  /**< the back end reported a failure of its own */
-    END_BLOCKED,        /**< it crashes the back ends that run it */
-    END_HELD,           /**< it may crash them, and its turn to run apart did not come in time */
+    END_DEADLINE,          /**< its final answer was due */
+    END_BACKENDS_FULL,     /**< no place came free in time */
+    END_NO_BACKEND,        /**< none can take it, or go on with its stream */
+    END_BACKED_OFF,        /**< all that can take it want nothing for longer than it may wait */
+    END_NO_CONNECTION,     /**< not even an attempt to connect could be made */
+    END_BACKEND_SILENT,    /**< the back end sent nothing for too long */
+    END_CONNECTION_BROKEN, /**< the connection broke, or the bytes were no answer */
+    END_TRUNCATED_EVENT,   /**< the answer was complete by its framing, but ended within an event */
+    END_NO_SEAL,           /**< an answer that its back end did not sign */
+    END_REFUSED,           /**< the back end did not run it */
+    END_MISDIRECTED,       /**< another back end stands there, or it has other weights */
+    END_RESUME_REFUSED,    /**< another answer than the rest of a stream */
+    END_BACKEND_ERROR,     /**< the back end reported a failure of its own */
+    END_BLOCKED,           /**< it crashes the back ends that run it */
+    END_HELD,              /**< it may crash them, and its turn to run apart did not come in time */
 };
 
 enum exchange_state { EXCHANGE_WAITING, EXCHANGE_SENT };
@@ -55,12 +55,12 @@
     const struct route *route;
     const struct service_entry *service;
     const struct tenant_entry *tenant; /* NULL: none */
-    struct service_state *state_of_service;
+    struct service_state *service_state;
     struct request_head head;
     enum exchange_state state;
     uint64_t arrived;
-    uint64_t final_at;   /* the final answer is due */
-    uint64_t wait_until; /* without a place by then it is refused */
+    uint64_t deadline_at; /* the final answer is due */
+    uint64_t wait_until;  /* without a place by then it is refused */
     struct upstream *upstream;
     struct backend *backend;
     struct tried_backend tried[BACKEND_MAX_EXCLUDED]; /* the last ones */
@@ -70,31 +70,32 @@
     uint32_t sends;         /* requests handed to a connection that came up */
     uint32_t refusals;      /* of these, refused after the stream had begun */
     uint32_t backoffs;      /* of these, refused by back ends that want nothing for a while */
-    bool counted;           /* the present attempt is among them */
+    bool send_counted;      /* the present attempt is among them */
     bool no_backend;        /* none was fit when it was last looked for */
-    bool returned;          /* its caller was refused before */
-    uint64_t next_look;     /* for a place, while it stands in no line; 0: it does */
+    bool is_client_retry;   /* its caller was refused before */
+    uint64_t recheck_at;    /* for a place, while it stands in no line; 0: it does */
     bool may_have_run;      /* a send ended without a word on whether it ran */
     uint64_t sent_at;
-    uint64_t first_byte_at; /* of the present back end, 0: none */
+    uint64_t first_byte_received_at; /* of the present back end, 0: none */
     uint64_t last_event_at;
-    uint64_t bear_until; /* the present back end's silence is borne until then at least */
-    bool streaming;      /* the head went out to the client */
+    uint64_t
+        silence_tolerated_until; /* the present back end's silence is borne until then at least */
+    bool streaming;              /* the head went out to the client */
     struct event_stream events;
     uint64_t version; /* of the weights of the first back end */
     bool paused;
-    bool in_doubt; /* whether its last back end ended decides on one more attempt */
-    enum exchange_end doubt_reason; /* of that attempt's end */
-    bool resuming;                  /* the next back end goes on with a stream that has begun */
-    bool owes_repeat;               /* the next send takes a repeat from the shared budget */
-    uint64_t not_before;            /* no back end is looked for earlier */
-    uint64_t heard_after;           /* the next engine must have been heard of since, 0: not */
-    char trail[TRAIL_SIZE];         /* attempts with what decided them, for the log */
+    bool awaiting_crash_check;    /* whether its last back end ended decides on one more attempt */
+    enum end_reason retry_reason; /* of that attempt's end */
+    bool resuming;                /* the next back end goes on with a stream that has begun */
+    bool owes_retry_charge;       /* the next send takes a repeat from the shared budget */
+    uint64_t not_before;          /* no back end is looked for earlier */
+    uint64_t heard_after;         /* the next engine must have been heard of since, 0: not */
+    char trail[TRAIL_SIZE];       /* attempts with what decided them, for the log */
     size_t trail_length;
     uv_timer_t timer;
     uint64_t timer_due; /* when the timer was set to fire */
-    struct exchange *next_waiting;
-    bool in_line;
+    struct exchange *next_queued;
+    bool is_queued;
     bool suspected;  /* a back end broke off while it was there */
     bool held;       /* it waits, or has waited, to run apart from others */
     bool identified; /* `identity` is worked out */
@@ -105,8 +106,8 @@
 
 /** \brief What decides on one more attempt, counting the present one if it was sent. */
 struct attempt_facts exchange_facts(const struct exchange *exchange, uint64_t now);
-/** \brief Set the timer to the next moment at which time alone changes something. */
-void exchange_arm(struct exchange *exchange);
+/** \brief Set the timer to the next until at which time alone changes something. */
+void exchange_arm_timer(struct exchange *exchange);
 
 /* --- exchange_suspicion.c ---- */
 
@@ -115,26 +116,27 @@
 /** \return whether it crashes the back ends that run it, as far as is known now */
 bool exchange_is_blocked(struct exchange *exchange);
 /** \return a key by which a suspect is placed apart from others; 0: it is no suspect */
-uint64_t exchange_rank_key(struct exchange *exchange);
+uint64_t exchange_isolation_key(struct exchange *exchange);
 /** \return what is known of it, or NULL */
 const struct crash_entry *exchange_crash_entry(struct exchange *exchange);
 /** \brief Its back end broke the connection, and may have ended. */
-void exchange_on_lost_run(struct exchange *exchange);
+void exchange_on_run_lost(struct exchange *exchange);
 /** \brief A back end ran it to a whole answer and lives. */
-void exchange_ran_well(struct exchange *exchange);
+void exchange_clear_suspicion(struct exchange *exchange);
 
 /* --- exchange_isolation.c ---- */
 
 /** \return time up to which it must not go anywhere, as it is held back, or as news that decide on
  * it are on their way; 0: it need not wait */
-uint64_t exchange_suspicion_pause(struct exchange *exchange, uint64_t now);
+uint64_t exchange_must_wait_until(struct exchange *exchange, uint64_t now);
 /** \return time up to which it is held back, as many back ends ended while it was there; 0: it is
  * not */
 uint64_t exchange_held_until(struct exchange *exchange, uint64_t now);
 /** \brief Wait for that time; a request that has not begun and cannot wait so long is refused. */
-void exchange_hold_until(struct exchange *exchange, uint64_t moment);
+void exchange_hold_until(struct exchange *exchange, uint64_t until);
 /** \brief Fill in where a request goes that is under suspicion. */
-void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_wish *wish);
+void exchange_fill_isolation(struct exchange *exchange, uint64_t now,
+                             struct backend_wish *criteria);
 /** \return whether it is not to be sent to a chosen back end now, but waits for a lease on it */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now);
@@ -144,27 +146,28 @@
 /** \return 0 for the most urgent, as back ends are told */
 int exchange_urgency(const struct exchange *exchange);
 /** \brief Wait for a place, by urgency and arrival. */
-void exchange_wait_in_line(struct exchange *exchange);
+void exchange_enqueue(struct exchange *exchange);
 /** \brief Wait beside the line: no news but time lets it go on. */
-void exchange_wait_until(struct exchange *exchange, uint64_t moment);
-void exchange_leave_line(struct exchange *exchange);
+void exchange_wait_until(struct exchange *exchange, uint64_t until);
+void exchange_dequeue(struct exchange *exchange);
 
-/* --- exchange_end.c ---- */
+/* --- end_reason.c ---- */
 
 /** \return the word for logs */
-const char *exchange_end_name(enum exchange_end end);
+const char *end_reason_name(enum end_reason end);
 /** \brief Append to the trail that the log line of the request's end shows. */
-void exchange_note(struct exchange *exchange, const char *format, ...)
+void exchange_trail_append(struct exchange *exchange, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** \brief Note a back end with what decided for it. */
-void exchange_note_send(struct exchange *exchange, const struct backend *backend, uint64_t now);
+void exchange_trail_append_send(struct exchange *exchange, const struct backend *backend,
+                                uint64_t now);
 /** \return the first of the back ends that are remembered, or NULL */
 const struct backend *exchange_first_tried(const struct exchange *exchange);
 /** \return the last one, or NULL */
 const struct backend *exchange_last_tried(const struct exchange *exchange);
 /** \brief Let go of the present back end. */
 void exchange_end_attempt(struct exchange *exchange, enum backend_result result);
-void exchange_log_end(const struct exchange *exchange, unsigned status, enum exchange_end reason,
+void exchange_log_end(const struct exchange *exchange, unsigned status, enum end_reason reason,
                       const struct backend *backend);
 /** \brief The request is over; the exchange is freed once its timer is closed. */
 void exchange_finish(struct exchange *exchange);
@@ -173,20 +176,21 @@
  * \param wait_ms Retry-After, 0: none
  * \param text body that says why, "": none
  */
-void exchange_answer_own(struct edge *edge, struct edge_client *client, const char *request_id,
-                         unsigned status, uint32_t wait_ms, const char *text);
+void exchange_send_local_response(struct edge *edge, struct edge_client *client,
+                                  const char *request_id, unsigned status, uint32_t wait_ms,
+                                  const char *text);
 /** \return time after which a client should come back when no back end serves at all, ms */
-uint32_t exchange_absent_retry_ms(struct edge *edge);
+uint32_t exchange_no_backend_retry_ms(struct edge *edge);
 /** \brief Note whether a request found a place, for the time to come back of others. */
-void exchange_count_place(struct exchange *exchange, bool found);
+void exchange_record_slot_result(struct exchange *exchange, bool found);
 /** \brief End with an answer of this system's own, at once; a begun stream is broken off. */
-void exchange_give_up(struct exchange *exchange, unsigned status, enum exchange_end reason);
+void exchange_fail(struct exchange *exchange, unsigned status, enum end_reason reason);
 /** \brief Give up with 503 when nothing has run, and 502 when that is not known. */
-void exchange_give_up_truly(struct exchange *exchange, enum exchange_end reason);
+void exchange_fail_by_run_state(struct exchange *exchange, enum end_reason reason);
 
 /* --- exchange_send.c ---- */
 
-bool exchange_is_repeatable(const struct exchange *exchange);
+bool exchange_is_retryable(const struct exchange *exchange);
 /** \brief Send to a back end, wait in line for one, or give up. */
 void exchange_dispatch(struct exchange *exchange);
 /** \return time at which a back end may be asked again, where all that could take the request want
@@ -197,15 +201,15 @@
  * \return whether another back end has room, and the shared budget a repeat if the present one was
  * sent the request
  */
-bool exchange_has_other(struct exchange *exchange, uint64_t heard_after);
+bool exchange_has_alternative(struct exchange *exchange, uint64_t heard_after);
 /** \brief Go to another back end, if attempts, time and the shared budget allow it. */
-void exchange_try_again(struct exchange *exchange, enum exchange_end reason);
+void exchange_retry(struct exchange *exchange, enum end_reason reason);
 
 /* --- exchange_answer.c ---- */
 
 /** \brief The attempt failed after the request was sent: it may have run. */
-void exchange_on_broken(struct exchange *exchange, enum backend_result result,
-                        enum exchange_end reason);
+void exchange_on_attempt_failed(struct exchange *exchange, enum backend_result result,
+                                enum end_reason reason);
 /** \brief The request reached a connection that is up. */
 void exchange_count_send(struct exchange *exchange);
 
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -8,25 +8,25 @@
 #include <inttypes.h>
 
 /** Between two looks whether the back end has ended at which the request was. */
-#define CHECK_LOOK_US 10000
+#define CRASH_CHECK_POLL_US 10000
 /** A request that has not begun bears so much beyond the time for which it may wait for a place. */
-#define SHORT_HOLD_US 40000
+#define MAX_EXTRA_WAIT_US 40000
 /** Between two looks whether what others did explains the ends at which the request was. */
-#define HELD_LOOK_US 100000
+#define HOLD_POLL_US 100000
 
-static struct crash_table *table_of(const struct exchange *exchange)
+static struct crash_table *crash_table_of(const struct exchange *exchange)
 {
     return crash_sync_table(exchange->edge->cluster.crashes);
 }
 
 static bool is_isolated(struct exchange *exchange)
 {
-    const struct crash_table *table = table_of(exchange);
+    const struct crash_table *table = crash_table_of(exchange);
     return crash_table_count(table) &&
            crash_table_isolates(table, exchange_identity(exchange), cluster_now());
 }
 
-static void note_held(struct exchange *exchange, const char *reason)
+static void record_hold(struct exchange *exchange, const char *reason)
 {
     if (exchange->held)
         return;
@@ -37,65 +37,66 @@
     log_event(LOG_LEVEL_INFO, "request", "held",
               "request=%s identity=%s reason=%s events=%" PRIu64 " left_ms=%" PRId64,
               exchange->head.id, identity, reason, exchange->events.events,
-              ((int64_t)exchange->final_at - (int64_t)cluster_now()) / (int64_t)MS_US);
+              ((int64_t)exchange->deadline_at - (int64_t)cluster_now()) / (int64_t)US_PER_MS);
 }
 
 /* It was there at an end before, and perhaps at one more just now: sent on at once, it would meet
  * all the others that were there. */
-static bool awaits_end(struct exchange *exchange, const struct crash_entry *entry)
+static bool awaits_crash_check(struct exchange *exchange, const struct crash_entry *entry)
 {
     return exchange->suspected && entry && entry->start_count &&
            crash_watch_is_checking(exchange->edge, exchange_last_tried(exchange));
 }
 
-uint64_t exchange_suspicion_pause(struct exchange *exchange, uint64_t now)
+uint64_t exchange_must_wait_until(struct exchange *exchange, uint64_t now)
 {
     const struct crash_entry *entry = exchange_crash_entry(exchange);
-    if (awaits_end(exchange, entry)) {
-        note_held(exchange, "end-in-doubt");
-        return now + CHECK_LOOK_US;
+    if (awaits_crash_check(exchange, entry)) {
+        record_hold(exchange, "end-in-doubt");
+        return now + CRASH_CHECK_POLL_US;
     }
     if (!entry)
         return 0;
     if (now < crash_entry_settled_at(entry) &&
-        crash_table_judge(table_of(exchange), &entry->identity, now) == CRASH_BLOCKED) {
-        note_held(exchange, "verdict-not-settled");
+        crash_table_judge(crash_table_of(exchange), &entry->identity, now) == CRASH_BLOCKED) {
+        record_hold(exchange, "verdict-not-settled");
         return crash_entry_settled_at(entry);
     }
     uint64_t held_until = exchange_held_until(exchange, now);
     if (held_until)
-        note_held(exchange, "many-ends");
+        record_hold(exchange, "many-ends");
     return held_until;
 }
 
 uint64_t exchange_held_until(struct exchange *exchange, uint64_t now)
 {
-    const struct crash_table *table = table_of(exchange);
+    const struct crash_table *table = crash_table_of(exchange);
     if (!crash_table_count(table))
         return 0;
     return crash_table_held_until(table, exchange_identity(exchange), now);
 }
 
-static uint64_t next_held_look(uint64_t held_until, uint64_t now)
+static uint64_t next_hold_poll(uint64_t held_until, uint64_t now)
 {
-    return held_until < now + HELD_LOOK_US ? held_until : now + HELD_LOOK_US;
+    return held_until < now + HOLD_POLL_US ? held_until : now + HOLD_POLL_US;
 }
 
-void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_wish *wish)
+void exchange_fill_isolation(struct exchange *exchange, uint64_t now, struct backend_wish *criteria)
 {
-    wish->rank_key = exchange_rank_key(exchange);
-    const struct crash_entry *entry = wish->rank_key ? exchange_crash_entry(exchange) : NULL;
+    criteria->rank_key = exchange_isolation_key(exchange);
+    const struct crash_entry *entry = criteria->rank_key ? exchange_crash_entry(exchange) : NULL;
     if (!entry)
         return;
     uint64_t *barred = exchange->edge->barred_starts;
-    wish->isolated = is_isolated(exchange);
-    wish->barred_starts = barred;
-    wish->barred_count = crash_table_barred(table_of(exchange), &entry->identity, now, barred);
-    if (!wish->isolated)
+    criteria->isolated = is_isolated(exchange);
+    criteria->barred_starts = barred;
+    criteria->barred_count =
+        crash_table_barred(crash_table_of(exchange), &entry->identity, now, barred);
+    if (!criteria->isolated)
         return;
-    wish->leased_start = crash_lease_is_valid(&entry->lease, now) ? entry->lease.start : 0;
-    if (wish->barred_count)
-        note_held(exchange, "others-run-apart");
+    criteria->leased_start = crash_lease_is_valid(&entry->lease, now) ? entry->lease.start : 0;
+    if (criteria->barred_count)
+        record_hold(exchange, "others-run-apart");
 }
 
 static void log_lease(struct exchange *exchange, const struct backend *backend,
@@ -106,16 +107,17 @@
     log_event(LOG_LEVEL_INFO, "crash", "lease",
               "request=%s identity=%s backend=%s born=%" PRIu64 " age_ms=%" PRIu64 " outcome=%s",
               exchange->head.id, identity, backend->listing.id, backend->listing.born,
-              (now - lease->since) / MS_US, crash_lease_is_settled(lease, now) ? "run" : "ask");
+              (now - lease->since) / US_PER_MS, crash_lease_is_settled(lease, now) ? "run" : "ask");
 }
 
-static uint64_t ask_lease(struct exchange *exchange, const struct backend *backend, uint64_t now)
+static uint64_t request_lease(struct exchange *exchange, const struct backend *backend,
+                              uint64_t now)
 {
     if (!is_isolated(exchange))
         return 0;
     uint64_t start = crash_start_key(backend->listing.id, backend->listing.born);
     struct crash_lease lease =
-        crash_table_lease(table_of(exchange), exchange_identity(exchange), start, now);
+        crash_table_lease(crash_table_of(exchange), exchange_identity(exchange), start, now);
     log_lease(exchange, backend, &lease, now);
     crash_sync_tell(exchange->edge->cluster.crashes);
     return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_SETTLES_US;
@@ -124,23 +126,23 @@
 /* A begun stream is held for as long as it has; any other is refused at once where its turn to run
  * apart does not come in the time that it may wait. A short hold does not count: its back end may
  * have ended after that time. */
-void exchange_hold_until(struct exchange *exchange, uint64_t moment)
+void exchange_hold_until(struct exchange *exchange, uint64_t until)
 {
     uint64_t now = cluster_now();
-    if (moment <= now + SHORT_HOLD_US && exchange->wait_until < moment)
-        exchange->wait_until = moment;
-    if (exchange->streaming || moment <= exchange->wait_until)
-        exchange_wait_until(exchange, next_held_look(moment, now));
+    if (until <= now + MAX_EXTRA_WAIT_US && exchange->wait_until < until)
+        exchange->wait_until = until;
+    if (exchange->streaming || until <= exchange->wait_until)
+        exchange_wait_until(exchange, next_hold_poll(until, now));
     else
-        exchange_give_up_truly(exchange, END_HELD);
+        exchange_fail_by_run_state(exchange, END_HELD);
 }
 
 /* \return whether it is not to be sent now, but waits for a lease on the back end */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now)
 {
-    uint64_t moment = ask_lease(exchange, backend, now);
-    if (moment)
-        exchange_hold_until(exchange, moment);
-    return moment;
+    uint64_t until = request_lease(exchange, backend, now);
+    if (until)
+        exchange_hold_until(exchange, until);
+    return until;
 }
--- a/src/edge/exchange_answer.c
+++ b/src/edge/exchange_response.c
@@ -11,7 +11,8 @@
 /** Statuses from here on are failures of the back end, not of the request. */
 #define FIRST_SERVER_ERROR 500
 
-bool exchange_is_foreign(const struct exchange *exchange, const struct answer_head *head)
+bool exchange_is_mismatched_response(const struct exchange *exchange,
+                                     const struct answer_head *head)
 {
     return exchange->head.id[0] && strcmp(head->request_id, exchange->head.id) != 0;
 }
@@ -27,15 +28,15 @@
 static void count_done(struct edge *edge)
 {
     metric_add(METRIC_REQUESTS_DONE, 1);
-    if (edge->answered)
+    if (edge->has_responded)
         return;
-    edge->answered = true;
-    metric_gauge_set(METRIC_FIRST_ANSWER_MS, (cluster_now() - edge->started) / MS_US);
+    edge->has_responded = true;
+    metric_gauge_set(METRIC_FIRST_ANSWER_MS, (cluster_now() - edge->started) / US_PER_MS);
 }
 
 /* A whole answer of the back end goes to the client as it is. */
-static void pass_on(struct exchange *exchange, struct http_message *message,
-                    enum exchange_end reason)
+static void forward_response(struct exchange *exchange, struct http_message *message,
+                             enum end_reason reason)
 {
     struct buffer head = {0};
     struct edge_client *client = exchange->client;
@@ -44,7 +45,7 @@
     metric_observe(METRIC_WHOLE_ANSWER, cluster_now() - exchange->arrived);
     exchange_log_end(exchange, http_message_status(message), reason, exchange_last_tried(exchange));
     exchange_finish(exchange);
-    edge_client_answer(client, &head, message->body.data, message->body.size);
+    edge_client_send_response(client, &head, message->body.data, message->body.size);
     buffer_clear(&head);
 }
 
@@ -58,7 +59,7 @@
 }
 
 /* Take new bytes of a stream's body, and hand on the events that are whole. */
-static void pass_events(struct exchange *exchange, struct http_message *message)
+static void forward_events(struct exchange *exchange, struct http_message *message)
 {
     struct buffer whole = {0};
     event_stream_feed(&exchange->events, message->body.data, message->body.size, &whole);
@@ -77,47 +78,49 @@
 
 static void note_first_byte(struct exchange *exchange)
 {
-    if (exchange->first_byte_at)
+    if (exchange->first_byte_received_at)
         return;
-    exchange->first_byte_at = cluster_now();
+    exchange->first_byte_received_at = cluster_now();
     if (exchange->route->kind == ROUTE_STREAM && !exchange->streaming)
-        metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_at - exchange->arrived);
+        metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_received_at - exchange->arrived);
     backend_answers(exchange->backend, exchange->head.tokens_in,
-                    exchange->first_byte_at - exchange->sent_at, exchange->first_byte_at);
+                    exchange->first_byte_received_at - exchange->sent_at,
+                    exchange->first_byte_received_at);
 }
 
-static void on_progress(struct exchange *exchange, struct upstream_answer *answer)
+static void on_progress(struct exchange *exchange, struct upstream_response *response)
 {
     note_first_byte(exchange);
     if (exchange->route->kind != ROUTE_STREAM ||
-        answer_meaning(&answer->head.facts) != ANSWER_DELIVERED)
+        answer_meaning(&response->head.facts) != ANSWER_DELIVERED)
         return; /* kept until it is complete */
     if (!exchange->version)
-        exchange->version = answer->head.version;
-    pass_events(exchange, &answer->message);
-    if (exchange->upstream && edge_client_pending(exchange->client) > CLIENT_PENDING_MOST) {
+        exchange->version = response->head.version;
+    forward_events(exchange, &response->message);
+    if (exchange->upstream &&
+        edge_client_unsent_bytes(exchange->client) > CLIENT_UNSENT_MAX_BYTES) {
         exchange->paused = true;
         upstream_pause(exchange->upstream, true);
-        exchange_arm(exchange);
+        exchange_arm_timer(exchange);
     }
 }
 
 static void finish_stream(struct exchange *exchange, struct http_message *message)
 {
     struct edge_client *client = exchange->client;
-    pass_events(exchange, message);
+    forward_events(exchange, message);
     if (exchange->events.partial.size) {
         /* Complete by its framing, but torn: no whole answer. */
-        exchange_on_broken(exchange, BACKEND_BROKEN, END_TORN);
+        exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_TRUNCATED_EVENT);
         return;
     }
     if (!exchange->streaming)
         begin_stream(exchange, message);
     if (!exchange->resuming)
-        stream_length_learn(&exchange->state_of_service->stream_length, exchange->head.tokens_guess,
+        stream_length_learn(&exchange->service_state->stream_length, exchange->head.tokens_guess,
                             cluster_now() - exchange->sent_at);
     exchange_end_attempt(exchange, BACKEND_SUCCEEDED);
-    exchange_ran_well(exchange);
+    exchange_clear_suspicion(exchange);
     count_done(exchange->edge);
     exchange_log_end(exchange, 200, END_DONE, exchange_first_tried(exchange));
     exchange_finish(exchange);
@@ -134,101 +137,101 @@
     backend_pool_replaced(exchange->edge->pool, backend);
 }
 
-void exchange_on_broken(struct exchange *exchange, enum backend_result result,
-                        enum exchange_end reason)
+void exchange_on_attempt_failed(struct exchange *exchange, enum backend_result result,
+                                enum end_reason reason)
 {
     bool stream = exchange->route->kind == ROUTE_STREAM;
-    if (reason == END_BROKEN)
-        exchange_on_lost_run(exchange);
+    if (reason == END_CONNECTION_BROKEN)
+        exchange_on_run_lost(exchange);
     exchange_end_attempt(exchange, result);
     exchange->may_have_run = true;
     event_stream_drop_partial(&exchange->events);
     if (stream && exchange->streaming) {
         if (!exchange->route->resumable) {
-            exchange_give_up(exchange, 502, reason);
+            exchange_fail(exchange, 502, reason);
             return;
         }
         exchange->resuming = true;
         metric_add(METRIC_RESUMES, 1);
     }
-    exchange_try_again(exchange, reason);
+    exchange_retry(exchange, reason);
 }
 
 /* Another back end may do better, if the request may be repeated and there is one with room. */
-static bool goes_on_after_error(struct exchange *exchange, unsigned status)
+static bool should_retry_after_error(struct exchange *exchange, unsigned status)
 {
     struct attempt_facts facts = exchange_facts(exchange, cluster_now());
     facts.may_have_run = true;
     return status >= FIRST_SERVER_ERROR && attempt_may_follow(&facts) &&
-           exchange_has_other(exchange, 0);
+           exchange_has_alternative(exchange, 0);
 }
 
 /* The back end did not run it. */
 static void on_not_run(struct exchange *exchange, const struct answer_facts *facts,
-                       enum backend_result result, enum exchange_end reason)
+                       enum backend_result result, enum end_reason reason)
 {
     exchange_end_attempt(exchange, result);
     exchange->refusals += exchange->streaming;
     exchange->backoffs += answer_backoff_us(facts) > 0;
-    exchange_try_again(exchange, reason);
+    exchange_retry(exchange, reason);
 }
 
-static void on_delivered(struct exchange *exchange, struct upstream_answer *answer)
+static void on_delivered(struct exchange *exchange, struct upstream_response *response)
 {
     if (exchange->route->kind == ROUTE_STREAM) {
         if (!exchange->version)
-            exchange->version = answer->head.version;
-        finish_stream(exchange, &answer->message);
+            exchange->version = response->head.version;
+        finish_stream(exchange, &response->message);
         return;
     }
     exchange_end_attempt(exchange, BACKEND_SUCCEEDED);
-    exchange_ran_well(exchange);
-    pass_on(exchange, &answer->message, END_DONE);
+    exchange_clear_suspicion(exchange);
+    forward_response(exchange, &response->message, END_DONE);
 }
 
-static void on_failed(struct exchange *exchange, struct upstream_answer *answer)
+static void on_failed(struct exchange *exchange, struct upstream_response *response)
 {
     if (exchange->streaming) { /* a resumed stream cannot end in another answer */
-        exchange_on_broken(exchange, BACKEND_ERROR, END_RESUME_REFUSED);
+        exchange_on_attempt_failed(exchange, BACKEND_ERROR, END_RESUME_REFUSED);
         return;
     }
-    if (goes_on_after_error(exchange, answer->head.facts.status)) {
+    if (should_retry_after_error(exchange, response->head.facts.status)) {
         exchange_end_attempt(exchange, BACKEND_ERROR);
         exchange->may_have_run = true;
-        exchange_try_again(exchange, END_BACKEND_ERROR);
+        exchange_retry(exchange, END_BACKEND_ERROR);
         return;
     }
     exchange_end_attempt(exchange, BACKEND_ERROR);
-    pass_on(exchange, &answer->message, END_BACKEND_ERROR);
+    forward_response(exchange, &response->message, END_BACKEND_ERROR);
 }
 
-static void on_done(struct exchange *exchange, struct upstream_answer *answer)
+static void on_done(struct exchange *exchange, struct upstream_response *response)
 {
-    switch (answer_meaning(&answer->head.facts)) {
+    switch (answer_meaning(&response->head.facts)) {
     case ANSWER_DELIVERED:
-        on_delivered(exchange, answer);
+        on_delivered(exchange, response);
         break;
     case ANSWER_NOT_RUN:
-        on_not_run(exchange, &answer->head.facts, BACKEND_REFUSED, END_REFUSED);
+        on_not_run(exchange, &response->head.facts, BACKEND_REFUSED, END_REFUSED);
         break;
     case ANSWER_ELSEWHERE:
-        on_misdirected(exchange, &answer->head);
-        on_not_run(exchange, &answer->head.facts, BACKEND_CANCELLED, END_MISDIRECTED);
+        on_misdirected(exchange, &response->head);
+        on_not_run(exchange, &response->head.facts, BACKEND_CANCELLED, END_MISDIRECTED);
         break;
     case ANSWER_UNPROVEN:
-        exchange_on_broken(exchange, BACKEND_BROKEN, END_NO_SEAL);
+        exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_NO_SEAL);
         break;
     case ANSWER_FAILED:
-        on_failed(exchange, answer);
+        on_failed(exchange, response);
         break;
     }
 }
 
 void exchange_count_send(struct exchange *exchange)
 {
-    if (exchange->counted)
+    if (exchange->send_counted)
         return;
-    exchange->counted = true;
+    exchange->send_counted = true;
     exchange->sends++;
 }
 
@@ -243,12 +246,12 @@
               " took_ms=%" PRIu64,
               exchange->head.id, backend->listing.id, backend->listed, backend->listing.draining,
               backend->leaving || backend->load.leaving,
-              backend->backoff_until > now ? (backend->backoff_until - now) / MS_US : 0,
-              (now - exchange->sent_at) / MS_US);
+              backend->backoff_until > now ? (backend->backoff_until - now) / US_PER_MS : 0,
+              (now - exchange->sent_at) / US_PER_MS);
 }
 
-void exchange_on_upstream(struct exchange *exchange, enum upstream_event event,
-                          struct upstream_answer *answer)
+void exchange_on_upstream_event(struct exchange *exchange, enum upstream_event event,
+                                struct upstream_response *response)
 {
     if (event != UPSTREAM_PROGRESS)
         exchange->upstream = NULL;
@@ -257,14 +260,14 @@
     struct edge *edge = exchange->edge;
     switch (event) {
     case UPSTREAM_PROGRESS:
-        on_progress(exchange, answer);
+        on_progress(exchange, response);
         return;
     case UPSTREAM_DONE:
         note_first_byte(exchange);
-        on_done(exchange, answer);
+        on_done(exchange, response);
         break;
     case UPSTREAM_BROKEN:
-        exchange_on_broken(exchange, BACKEND_BROKEN, END_BROKEN);
+        exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_CONNECTION_BROKEN);
         break;
     case UPSTREAM_WITHHELD:
         log_withheld(exchange);
@@ -276,5 +279,5 @@
         exchange_dispatch(exchange);
         break;
     }
-    exchange_dispatch_waiting(edge);
+    exchange_dispatch_queued(edge);
 }
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -9,9 +9,9 @@
 #include <stdio.h>
 
 /** Up to eight ends with their ages. */
-#define ENDS_TEXT_SIZE 200
+#define CRASHES_TEXT_SIZE 200
 
-static struct crash_table *table_of(const struct exchange *exchange)
+static struct crash_table *crash_table_of(const struct exchange *exchange)
 {
     return crash_sync_table(exchange->edge->cluster.crashes);
 }
@@ -37,7 +37,7 @@
 /* While nobody is under suspicion no identity is worked out. */
 static enum crash_verdict judge(struct exchange *exchange)
 {
-    const struct crash_table *table = table_of(exchange);
+    const struct crash_table *table = crash_table_of(exchange);
     if (!crash_table_count(table))
         return CRASH_NO_SUSPECT;
     return crash_table_judge(table, exchange_identity(exchange), cluster_now());
@@ -48,14 +48,14 @@
                         uint64_t now)
 {
     struct crash_finding finding =
-        crash_table_finding(table_of(exchange), &exchange->identity, now);
+        crash_table_finding(crash_table_of(exchange), &exchange->identity, now);
     char identity[REQUEST_IDENTITY_HEX_SIZE];
-    char ends[ENDS_TEXT_SIZE] = "";
+    char ends[CRASHES_TEXT_SIZE] = "";
     size_t length = 0;
     for (uint32_t i = 0; i < entry->start_count && length < sizeof ends; i++)
         length += (size_t)snprintf(ends + length, sizeof ends - length, "%s%08" PRIx32 "@%" PRIu64,
                                    i ? "," : "", (uint32_t)entry->starts[i].start,
-                                   (now - entry->starts[i].ended_at) / MS_US);
+                                   (now - entry->starts[i].ended_at) / US_PER_MS);
     request_identity_to_hex(&exchange->identity, identity);
     log_event(LOG_LEVEL_WARN, "crash", "blocked",
               "request=%s identity=%s unexplained=%u proofs=%u ends_ms_ago=%s", exchange->head.id,
@@ -66,7 +66,8 @@
 {
     if (judge(exchange) != CRASH_BLOCKED)
         return false;
-    const struct crash_entry *entry = crash_table_find(table_of(exchange), &exchange->identity);
+    const struct crash_entry *entry =
+        crash_table_find(crash_table_of(exchange), &exchange->identity);
     uint64_t now = cluster_now();
     if (now < crash_entry_settled_at(entry))
         return false;
@@ -76,11 +77,11 @@
 
 const struct crash_entry *exchange_crash_entry(struct exchange *exchange)
 {
-    const struct crash_table *table = table_of(exchange);
+    const struct crash_table *table = crash_table_of(exchange);
     return crash_table_count(table) ? crash_table_find(table, exchange_identity(exchange)) : NULL;
 }
 
-uint64_t exchange_rank_key(struct exchange *exchange)
+uint64_t exchange_isolation_key(struct exchange *exchange)
 {
     if (!exchange->suspected && judge(exchange) == CRASH_NO_SUSPECT)
         return 0;
@@ -88,7 +89,7 @@
     return hash_bytes(identity->bytes, sizeof identity->bytes) | 1;
 }
 
-void exchange_on_lost_run(struct exchange *exchange)
+void exchange_on_run_lost(struct exchange *exchange)
 {
     struct backend *backend = exchange->backend;
     const struct request_identity *identity = exchange_identity(exchange);
@@ -99,8 +100,8 @@
               "request=%s identity=%s backend=%s born=%" PRIu64 " events=%" PRIu64
               " sends=%u sent_ms_ago=%" PRIu64 " others_here=%u",
               exchange->head.id, hex, backend->listing.id, backend->listing.born,
-              exchange->events.events, exchange->sends, (cluster_now() - exchange->sent_at) / MS_US,
-              backend->in_flight - 1);
+              exchange->events.events, exchange->sends,
+              (cluster_now() - exchange->sent_at) / US_PER_MS, backend->in_flight - 1);
     exchange->suspected = true;
     crash_watch_lost_run(exchange->edge, backend, identity, exchange->head.id, exchange->sent_at);
 }
@@ -112,9 +113,9 @@
     return rest ? cluster_now() - exchange->sent_at : CRASH_RAN_WHOLE;
 }
 
-void exchange_ran_well(struct exchange *exchange)
+void exchange_clear_suspicion(struct exchange *exchange)
 {
-    struct crash_table *table = table_of(exchange);
+    struct crash_table *table = crash_table_of(exchange);
     char hex[REQUEST_IDENTITY_HEX_SIZE];
     if (!crash_table_count(table) ||
         !crash_table_clear(table, exchange_identity(exchange), cluster_now(), ran_us(exchange)))
@@ -124,11 +125,11 @@
     crash_sync_tell(exchange->edge->cluster.crashes);
 }
 
-void exchange_end_if_blocked(struct exchange *exchange)
+void exchange_fail_if_blocked(struct exchange *exchange)
 {
     if (!exchange_is_blocked(exchange))
         return;
     if (exchange->upstream && upstream_is_sent(exchange->upstream))
         exchange->may_have_run = true;
-    exchange_give_up_truly(exchange, END_BLOCKED);
+    exchange_fail_by_run_state(exchange, END_BLOCKED);
 }
--- a/src/edge/upstream.c
+++ b/src/edge/upstream.c
@@ -1,18 +1,18 @@
 /* Connections to back ends: one request at a time on each, kept for the next one. */
 #include "base/memory.h"
 #include "base/metrics.h"
-#include "edge/backend_states.h"
+#include "edge/backend_feedback.h"
 #include "edge/edge_internal.h"
 
 #include <stdlib.h>
 
 /** An idle connection is kept for so long when the back end does not say. */
-#define KEEP_DEFAULT_US 4000000
+#define KEEP_ALIVE_DEFAULT_US 4000000
 /** A connection is no longer used so long before the back end may close it. */
-#define KEEP_MARGIN_US 400000
+#define KEEP_ALIVE_MARGIN_US 400000
 #define CONNECT_TIMEOUT_US 700000
 /** Answers with a lower status are followed by another one to the same request. */
-#define FINAL_STATUS 200
+#define FIRST_FINAL_STATUS 200
 
 enum upstream_state { UPSTREAM_CONNECTING, UPSTREAM_BUSY, UPSTREAM_IDLE };
 
@@ -20,16 +20,16 @@
     struct edge *edge;
     struct backend *backend;
     struct tcp_stream *stream;
-    struct upstream_answer answer;
-    bool head_read; /* `answer.head` is decoded */
+    struct upstream_response response;
+    bool head_read; /* `response.head` is decoded */
     enum upstream_state state;
     struct exchange *exchange; /* NULL while idle */
     uint64_t started;
     uint64_t idle_since;
     uint64_t keep_until;
-    struct upstream *next;      /* of the back end's connections */
-    struct upstream *next_open; /* of all connections of the edge */
-    struct upstream **open_place;
+    struct upstream *next;         /* of the back end's connections */
+    struct upstream *next_in_edge; /* of all connections of the edge */
+    struct upstream **edge_link;
 };
 
 /* All connections to one back end, newest use first. */
@@ -37,19 +37,19 @@
     struct upstream *first;
 };
 
-static struct upstream_list *list_of(struct backend *backend)
+static struct upstream_list *connections_of(struct backend *backend)
 {
     if (!backend->connections)
         backend->connections = memory_zero(1, sizeof(struct upstream_list));
     return backend->connections;
 }
 
-static void unlink_upstream(struct upstream *upstream)
+static void remove_from_backend(struct upstream *upstream)
 {
-    struct upstream_list *list = list_of(upstream->backend);
-    for (struct upstream **place = &list->first; *place; place = &(*place)->next) {
-        if (*place == upstream) {
-            *place = upstream->next;
+    struct upstream_list *list = connections_of(upstream->backend);
+    for (struct upstream **link = &list->first; *link; link = &(*link)->next) {
+        if (*link == upstream) {
+            *link = upstream->next;
             break;
         }
     }
@@ -59,28 +59,28 @@
     }
 }
 
-static void link_first(struct upstream *upstream)
+static void prepend_to_backend(struct upstream *upstream)
 {
-    struct upstream_list *list = list_of(upstream->backend);
+    struct upstream_list *list = connections_of(upstream->backend);
     upstream->next = list->first;
     list->first = upstream;
 }
 
-static void link_open(struct upstream *upstream)
+static void prepend_to_edge(struct upstream *upstream)
 {
     struct upstream **first = &upstream->edge->upstreams;
-    upstream->next_open = *first;
-    upstream->open_place = first;
+    upstream->next_in_edge = *first;
+    upstream->edge_link = first;
     if (*first)
-        (*first)->open_place = &upstream->next_open;
+        (*first)->edge_link = &upstream->next_in_edge;
     *first = upstream;
 }
 
-static void unlink_open(struct upstream *upstream)
+static void remove_from_edge(struct upstream *upstream)
 {
-    *upstream->open_place = upstream->next_open;
-    if (upstream->next_open)
-        upstream->next_open->open_place = upstream->open_place;
+    *upstream->edge_link = upstream->next_in_edge;
+    if (upstream->next_in_edge)
+        upstream->next_in_edge->edge_link = upstream->edge_link;
 }
 
 /* A request that is given up must not arrive any more: after a close the kernel still delivers what
@@ -95,12 +95,12 @@
 
 static void destroy(struct upstream *upstream)
 {
-    unlink_upstream(upstream);
-    unlink_open(upstream);
+    remove_from_backend(upstream);
+    remove_from_edge(upstream);
     if (upstream->stream)
         close_stream(upstream);
     backend_release(upstream->backend);
-    http_message_clear(&upstream->answer.message);
+    http_message_clear(&upstream->response.message);
     free(upstream);
 }
 
@@ -108,60 +108,61 @@
 static void finish(struct upstream *upstream, enum upstream_event event, bool reusable)
 {
     struct exchange *exchange = upstream->exchange;
-    struct upstream_answer answer = upstream->answer;
+    struct upstream_response response = upstream->response;
     if (event == UPSTREAM_DONE)
         upstream->state = UPSTREAM_IDLE;
     upstream->exchange = NULL;
-    upstream->answer.message = (struct http_message){0};
+    upstream->response.message = (struct http_message){0};
     /* The parser's position is part of the message that is handed over. */
     if (reusable) {
         upstream->idle_since = cluster_now();
-        unlink_upstream(upstream);
-        link_first(upstream);
+        remove_from_backend(upstream);
+        prepend_to_backend(upstream);
     } else {
         destroy(upstream);
     }
-    exchange_on_upstream(exchange, event, &answer);
-    http_message_clear(&answer.message);
+    exchange_on_upstream_event(exchange, event, &response);
+    http_message_clear(&response.message);
 }
 
-static void begin_answer(struct upstream *upstream)
+static void begin_response(struct upstream *upstream)
 {
     upstream->head_read = false;
-    http_message_begin(&upstream->answer.message, HTTP_MESSAGE_RESPONSE);
+    http_message_begin(&upstream->response.message, HTTP_MESSAGE_RESPONSE);
 }
 
 /* What a back end says of itself holds from the head on, whichever request the answer is for: a
  * stream may last for seconds, and a late answer is passed over. */
 static void read_head(struct upstream *upstream)
 {
-    struct upstream_answer *answer = &upstream->answer;
-    if (upstream->head_read || !answer->message.head_complete)
+    struct upstream_response *response = &upstream->response;
+    if (upstream->head_read || !response->message.head_complete)
         return;
     upstream->head_read = true;
-    platform_read_answer(&answer->message, &answer->head);
-    backend_states(upstream->edge, upstream->backend, &answer->head);
+    platform_read_answer(&response->message, &response->head);
+    backend_feedback_from_response(upstream->edge, upstream->backend, &response->head);
 }
 
 static bool may_reuse(struct upstream *upstream, bool bytes_left)
 {
-    const struct http_message *message = &upstream->answer.message;
+    const struct http_message *message = &upstream->response.message;
     if (!message->keep_alive || !message->framed || bytes_left ||
         tcp_stream_pending(upstream->stream) || !upstream->backend->listed)
         return false;
-    uint32_t keep_ms = upstream->answer.head.keep_alive_ms;
-    uint64_t keep = keep_ms ? keep_ms * 1000ULL : KEEP_DEFAULT_US;
-    if (keep <= KEEP_MARGIN_US)
+    uint32_t keep_ms = upstream->response.head.keep_alive_ms;
+    uint64_t keep = keep_ms ? keep_ms * 1000ULL : KEEP_ALIVE_DEFAULT_US;
+    if (keep <= KEEP_ALIVE_MARGIN_US)
         return false;
-    upstream->keep_until = cluster_now() + keep - KEEP_MARGIN_US;
+    upstream->keep_until = cluster_now() + keep - KEEP_ALIVE_MARGIN_US;
     return true;
 }
 
 /* A message is complete: pass over what is not the answer. \return whether it was the answer */
-static bool is_answer(struct upstream *upstream)
+static bool is_expected_response(struct upstream *upstream)
 {
-    const struct answer_head *head = &upstream->answer.head;
-    return head->facts.status >= FINAL_STATUS && !exchange_is_foreign(upstream->exchange, head);
+    const struct answer_head *head = &upstream->response.head;
+    return head->facts.status >= FIRST_FINAL_STATUS &&
+           !exchange_is_mismatched_response(upstream->exchange, head);
 }
 
 static void on_received(void *context, const char *bytes, size_t size)
@@ -174,12 +175,12 @@
     while (size) {
         size_t used;
         enum http_parse_result result =
-            http_message_feed(&upstream->answer.message, bytes, size, &used);
+            http_message_feed(&upstream->response.message, bytes, size, &used);
         bytes += used;
         size -= used;
         read_head(upstream);
-        if (result == HTTP_PARSE_DONE && !is_answer(upstream)) {
-            begin_answer(upstream);
+        if (result == HTTP_PARSE_DONE && !is_expected_response(upstream)) {
+            begin_response(upstream);
             continue;
         }
         if (result == HTTP_PARSE_DONE) {
@@ -191,8 +192,8 @@
             return;
         }
     }
-    if (upstream->head_read && is_answer(upstream))
-        exchange_on_upstream(upstream->exchange, UPSTREAM_PROGRESS, &upstream->answer);
+    if (upstream->head_read && is_expected_response(upstream))
+        exchange_on_upstream_event(upstream->exchange, UPSTREAM_PROGRESS, &upstream->response);
 }
 
 static void on_ended(void *context, enum tcp_end end)
@@ -203,18 +204,18 @@
         return;
     }
     bool whole = end == TCP_END_ORDERLY &&
-                 http_message_end(&upstream->answer.message) == HTTP_PARSE_DONE &&
-                 is_answer(upstream);
+                 http_message_end(&upstream->response.message) == HTTP_PARSE_DONE &&
+                 is_expected_response(upstream);
     finish(upstream, whole ? UPSTREAM_DONE : UPSTREAM_BROKEN, false);
 }
 
 static bool write_request(struct upstream *upstream)
 {
     struct buffer bytes = {0};
-    bool fits = exchange_write(upstream->exchange, &bytes);
+    bool fits = exchange_write_request(upstream->exchange, &bytes);
     if (fits) {
         upstream->state = UPSTREAM_BUSY;
-        begin_answer(upstream);
+        begin_response(upstream);
         tcp_stream_write(upstream->stream, bytes.data, bytes.size);
     }
     buffer_clear(&bytes);
@@ -235,12 +236,12 @@
 static const struct tcp_stream_callbacks stream_callbacks = {
     .connected = on_connected, .received = on_received, .ended = on_ended};
 
-static struct upstream *find_idle(struct backend *backend, uint64_t now, uint64_t most_idle_us)
+static struct upstream *find_idle(struct backend *backend, uint64_t now, uint64_t max_idle_us)
 {
     struct upstream_list *list = backend->connections;
     for (struct upstream *upstream = list ? list->first : NULL; upstream; upstream = upstream->next)
         if (upstream->state == UPSTREAM_IDLE && now < upstream->keep_until &&
-            now <= upstream->idle_since + most_idle_us)
+            now <= upstream->idle_since + max_idle_us)
             return upstream;
     return NULL;
 }
@@ -255,8 +256,8 @@
     upstream->backend = backend_retain(backend);
     upstream->state = UPSTREAM_CONNECTING;
     upstream->stream = tcp_stream_connect(edge->loop, &address, &stream_callbacks, upstream);
-    link_first(upstream);
-    link_open(upstream);
+    prepend_to_backend(upstream);
+    prepend_to_edge(upstream);
     if (!upstream->stream) {
         destroy(upstream);
         return NULL;
@@ -266,10 +267,10 @@
 }
 
 struct upstream *upstream_send(struct edge *edge, struct backend *backend,
-                               struct exchange *exchange, uint64_t most_idle_us)
+                               struct exchange *exchange, uint64_t max_idle_us)
 {
     uint64_t now = cluster_now();
-    struct upstream *upstream = find_idle(backend, now, most_idle_us);
+    struct upstream *upstream = find_idle(backend, now, max_idle_us);
     bool is_idle = upstream != NULL;
     if (!upstream)
         upstream = connect_new(edge, backend);
@@ -296,7 +297,7 @@
     return upstream->state == UPSTREAM_BUSY;
 }
 
-bool upstream_is_open(const struct backend *backend)
+bool upstream_has_open_connection(const struct backend *backend)
 {
     const struct upstream_list *list = backend->connections;
     for (const struct upstream *upstream = list ? list->first : NULL; upstream;
@@ -329,13 +330,13 @@
 {
     struct upstream *upstream = edge->upstreams;
     while (upstream && !is_expired(upstream, now))
-        upstream = upstream->next_open;
+        upstream = upstream->next_in_edge;
     return upstream;
 }
 
 /* All that are open, also to back ends that the list dropped: machines that lost power close
  * nothing, and a request would wait until its deadline for a connection to one to come up. */
-void upstream_sweep(struct edge *edge, uint64_t now)
+void upstream_close_expired(struct edge *edge, uint64_t now)
 {
     struct upstream *upstream;
     while ((upstream = find_expired(edge, now))) {
@@ -349,8 +350,8 @@
 
 void upstream_close_idle(struct edge *edge)
 {
-    for (struct upstream *upstream = edge->upstreams; upstream; upstream = upstream->next_open)
+    for (struct upstream *upstream = edge->upstreams; upstream; upstream = upstream->next_in_edge)
         if (upstream->state == UPSTREAM_IDLE)
             upstream->keep_until = 0;
-    upstream_sweep(edge, cluster_now());
+    upstream_close_expired(edge, cluster_now());
 }
