--- a/src/edge/backend_feedback.c
+++ b/src/edge/backend_feedback.c
@@ -6,13 +6,13 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Another back end stands at the address now: it speaks for itself alone. */
+/* Another backend instance uses the address now; its headers say nothing about `backend`. */
 static bool is_from_other_instance(const struct backend *backend, const struct answer_head *head)
 {
     return head->instance[0] && strcmp(head->instance, backend->listing.id) != 0;
 }
 
-/* \param request whose answer said so, "-": it said so to its machine */
+/* \param request id of the request whose response announced it; "-": a load report did */
 static void log_leaving(const struct backend *backend, const char *source, const char *request)
 {
     metric_add(METRIC_BACKENDS_LEAVING, 1);
--- a/src/edge/backend_feedback.h
+++ b/src/edge/backend_feedback.h
@@ -1,16 +1,19 @@
 /**
- * What a back end states of itself, in the head of an answer or to its machine, taken to the pool
- * and into the log.
+ * Applies what a backend reports about itself, in response headers or through its machine's load
+ * reports, to the backend pool, and logs the changes.
  */
 #ifndef SHUNTRUN_BACKEND_FEEDBACK_H
 #define SHUNTRUN_BACKEND_FEEDBACK_H
 
 #include "edge/edge_internal.h"
 
-/** \brief The head of an answer came on a connection to the back end. */
+/** \brief Applies the headers of a response that came on a connection to the backend. */
 void backend_feedback_from_response(struct edge *edge, struct backend *backend,
                                     const struct answer_head *head);
-/** \brief The machine of a model engine told its load. \return whether it is one that is listed */
+/**
+ * \brief Applies a load report that the machine of a model engine sent.
+ * \return false if no backend is listed at `address`, or if the report is from an earlier start
+ */
 bool backend_feedback_from_load(struct edge *edge, const char *address,
                                 const struct backend_load *load);
 
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -9,54 +9,56 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Requests of this gateway at one back end that are kept; engines run 12 to 16 of all gateways. */
+/** Interrupted requests of this gateway recorded for one backend; engines run 12 to 16 requests of
+ * all gateways. */
 #define MAX_LOST_RUNS 64
-/** Time after the first broken connection in which the others of an ended back end break too. */
+/** Time after the first broken connection within which a crashed backend's other connections break
+ * too. */
 #define COLLECT_MS 10
-/** Requests that broke off so long before the last one did not run when the back end ended. */
+/** A request interrupted earlier than this before the last one was not running when the backend
+ * crashed. */
 #define SAME_CRASH_WINDOW_US ((uint64_t)300000)
-/** A request that broke off sooner may have been sent into a connection whose other end was gone.
+/** A request interrupted sooner after its send may have met a connection whose peer was gone.
  */
 #define MIN_RUN_US ((uint64_t)20000)
-/** A new connection that is neither up nor refused by then proves nothing. */
+/** A probe connection that is neither accepted nor refused by then is inconclusive. */
 #define PROBE_CONNECT_TIMEOUT_MS 700
-/** Time in which another start at the address shows that the last one ended. */
+/** Time within which a later start at the address proves that the previous one ended. */
 #define RESTART_WINDOW_US ((uint64_t)5000000)
 
 enum crash_check_state {
-    CHECK_COLLECTING,       /* further connections may break */
-    CHECK_CONNECTIONS_OPEN, /* some are still up: they may break yet */
-    CHECK_CONNECTING,       /* whether a new one is refused */
-    CHECK_AWAITING_RESTART, /* for another start at the address */
+    CHECK_COLLECTING,       /* waiting for further connections to break */
+    CHECK_CONNECTIONS_OPEN, /* some connections are still up and may break yet */
+    CHECK_CONNECTING,       /* probing whether a new connection is refused */
+    CHECK_AWAITING_RESTART, /* waiting for a later start at the address */
 };
 
 struct lost_run {
     struct request_identity identity;
     uint32_t attempt; /* crash_attempt_key() */
     uint64_t interrupted_at;
-    uint64_t began_at; /* of the first of like ones; 0: it may not have begun */
+    uint64_t began_at; /* of the first run of an identical request; 0: it may not have begun */
 };
 
-/* A back end that may have ended, and the requests that broke off there. */
+/* A backend that may have crashed, and the requests that were interrupted there. */
 struct crash_check {
     struct edge *edge;
     struct backend *backend;
-    bool planned;            /* it had said that it leaves: its end is no evidence */
+    bool planned;            /* its end was announced and is no evidence */
     uint64_t start;          /* crash_start_key() */
-    uint64_t began_at;       /* when the last of these requests began there; 0: not known */
-    uint64_t interrupted_at; /* when the last request broke off */
+    uint64_t began_at;       /* when the last of its requests began; 0: not known */
+    uint64_t interrupted_at; /* when the last request was interrupted */
     enum crash_check_state state;
     struct lost_run runs[MAX_LOST_RUNS];
     uint32_t run_count;
     uv_timer_t timer;
     uv_tcp_t connection;
     uv_connect_t connect;
-    uint32_t open_handles; /* the timer, and the connection while there is one */
+    uint32_t open_handles; /* the timer, and the connection while it is open */
     struct crash_check *next;
 };
 
-/* --- end of a check ------------------------------------------------------------------------------
- */
+/* --- end of a check --- */
 
 static void on_closed(uv_handle_t *handle)
 {
@@ -100,7 +102,7 @@
               finding.isolated, crash_verdict_name(crash_table_judge(table, &run->identity, now)));
 }
 
-/* All that were there are known before any of them is judged. */
+/* Adds all requests before logging any finding, as each finding depends on all of them. */
 static void add_evidence(struct crash_check *check)
 {
     struct crash_table *table = crash_sync_table(check->edge->cluster.crashes);
@@ -144,8 +146,7 @@
     end_check(check);
 }
 
-/* --- steps of a check ----------------------------------------------------------------------------
- */
+/* --- steps of a check --- */
 
 static void wait_for_restart(struct crash_check *check)
 {
@@ -158,7 +159,7 @@
 static void on_connected(uv_connect_t *request, int status)
 {
     struct crash_check *check = request->data;
-    if (status == UV_ECANCELED) /* the check is over, or its time to connect is */
+    if (status == UV_ECANCELED) /* the check has ended, or the connect timed out */
         return;
     if (status == UV_ECONNREFUSED)
         confirm_crash(check, "refused");
@@ -201,8 +202,7 @@
         probe_with_connection(check);
 }
 
-/* --- begin ---------------------------------------------------------------------------------------
- */
+/* --- begin --- */
 
 static struct crash_check *find_check(const struct edge *edge, const struct backend *backend)
 {
@@ -298,7 +298,7 @@
     const struct crash_check *check = backend ? find_check(edge, backend) : NULL;
     if (!check)
         return false;
-    /* One that starts again at once accepts connections before the next tick confirms it. */
+    /* A backend that restarts at once accepts connections before a tick confirms the crash. */
     return check->state == CHECK_COLLECTING || check->state == CHECK_CONNECTING ||
            has_restarted(check);
 }
--- a/src/edge/crash_watch.h
+++ b/src/edge/crash_watch.h
@@ -1,13 +1,13 @@
 /**
- * Finds out whether a back end has ended when requests there broke off, and tells all nodes which
- * requests it had.
+ * Detects backend crashes after requests were interrupted, and tells all nodes which requests the
+ * crashed backend was running.
  *
- * One broken connection proves nothing: connections are reset on their way, and an engine may break
- * an answer off and live on. A back end counts as ended when none of this gateway's connections to
- * it is left and a new one is refused, or when another start stands at its address soon after. One
- * that said it leaves, or that the list dropped while its keeper worked, serves on for a time that
- * the platform promises; an end after that is planned, and proves nothing against a request. An end
- * before it is one like any other.
+ * One broken connection proves nothing: connections are reset in transit, and an engine may abort a
+ * response and keep running. A backend counts as crashed when none of this gateway's connections to
+ * it is left and a new one is refused, or when a later start of a backend appears at its address
+ * soon after. A backend that announced that it is leaving, or that was removed from the list while
+ * the store was healthy, keeps serving for a time that the platform guarantees. An end after that
+ * time is planned and is no evidence against a request; an end before it counts as a crash.
  */
 #ifndef SHUNTRUN_CRASH_WATCH_H
 #define SHUNTRUN_CRASH_WATCH_H
@@ -15,13 +15,15 @@
 #include "core/crash_table.h"
 #include "edge/edge_internal.h"
 
-/** \brief A request broke off at a back end. \param sent_at time at which it was sent there */
+/** \brief Reports a request that was interrupted. \param sent_at time at which it was sent to the
+ * backend */
 void crash_watch_lost_run(struct edge *edge, struct backend *backend,
                           const struct request_identity *identity, const char *request_id,
                           uint64_t sent_at);
-/** \return whether it is to be known soon if the back end has ended */
+/** \return whether a check is running that will show soon if the backend has crashed */
 bool crash_watch_is_checking(const struct edge *edge, const struct backend *backend);
-/** \brief Look for other starts at the addresses of back ends that are in doubt. */
+/** \brief Checks the addresses of suspected backends for later starts, and ends checks that timed
+ * out. */
 void crash_watch_tick(struct edge *edge, uint64_t now);
 
 #endif
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -15,27 +15,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time between looks at what is due by time alone. */
+/** Interval of the tick, which does what is due by time alone. */
 #define TICK_MS 100
-/** The same while this node does not know most of the members: its relay waits for that. */
+/** The same until this node knows most of the members: its weight relay waits for that. */
 #define STARTUP_TICK_MS 25
-/** Questions for addresses and readiness have no body worth reading. */
+/** Requests for addresses and readiness need no body. */
 #define SERVICE_BODY_LIMIT 4096
-/** Three reports of a loader to other regions, which it sends each 0.4 s, and some delay. */
+/** Three load reports to other regions, which a loader sends every 0.4 s, plus some delay. */
 #define LOAD_MAX_AGE_US 1500000
-/** Two reports of a loader to its own region, which it sends three times a second at least, and
- * some delay: what stands still after that is its machine, or the way there. */
+/** Two load reports to the loader's own region, which it sends at least three times a second, plus
+ * some delay: after that its machine or the network to it has stalled. */
 #define NEAR_LOAD_MAX_AGE_US 750000
-/** The list may drop back ends that live, which then list themselves again; one that leaves without
- * a word serves on for longer than this. */
+/** The list may drop live backends, which then register again. A backend that leaves unannounced
+ * keeps serving for longer than this. */
 #define UNLISTED_MAX_US 1400000
-/** So long before the bound on leaving a back end gets nothing more: news take 0.2 s from one call
- * to the store to the next, 0.2 s more when it is slow, and requests some time on their way. */
+/** A draining backend gets no more requests from this long before its drain bound: an update takes
+ * 0.2 s from one poll of the store to the next, 0.2 s more when the store is slow, and requests
+ * some time in transit. */
 #define DRAIN_MARGIN_US 600000
-/** A planned stop: new requests are taken for so long, as clients keep an address for up to three
- * times its age; what is in progress then still has time to finish. */
+/** New requests are accepted for this long after a planned stop began, as clients keep an address
+ * for up to three times ADDRESS_MAX_AGE_S. Requests in progress then still have time to finish. */
 #define STOP_ACCEPT_PERIOD_US 3200000
-/** So long before the end of the grace time the process ends whatever is in progress. */
+/** The process exits this long before the end of the grace period, whatever is in progress. */
 #define STOP_MARGIN_US 500000
 
 static void on_item(void *context, const struct state_item *item)
@@ -64,7 +65,7 @@
         exchange_dispatch_queued(edge);
 }
 
-/* Other nodes ask for weights. */
+/* Serves model weights to other nodes. */
 static void on_call(void *context, struct service_call *call, const struct service_request *request)
 {
     struct edge *edge = context;
@@ -72,7 +73,8 @@
         service_reply(call, 404, NULL, NULL, 0);
 }
 
-/* Timers of the event loop left a suspension out: each request looks at the time again. */
+/* Timers of the event loop do not count suspended time, so each request rechecks its deadline.
+ */
 static void on_woke(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
@@ -87,8 +89,7 @@
     exchange_dispatch_queued(context);
 }
 
-/* --- readiness
- */
+/* --- Addresses and readiness --- */
 
 static void on_directory_request(void *context, struct service_call *call,
                                  const struct service_request *request)
@@ -110,8 +111,7 @@
     service_reply(call, !known ? 404 : is_ready(edge) ? 200 : 503, NULL, NULL, 0);
 }
 
-/* --- time and stop
- * ----------------------------------------------------------------------------------- */
+/* --- Tick and shutdown --- */
 
 static void count_gateways(struct edge *edge)
 {
@@ -123,7 +123,7 @@
         edge->max_gateways = known;
 }
 
-/* Take no more: a request that comes now might not be finished in time. */
+/* Closes the listener: a request that arrives now might not finish in time. */
 static void stop_accepting(struct edge *edge)
 {
     if (edge->listener_closed)
@@ -148,8 +148,9 @@
     }
 }
 
-/* Close what is idle or unanswered for too long. After a pause of this process what has arrived
- * meanwhile is not read yet: connections that seem to be silent get until the next tick. */
+/* Closes connections that were idle or without a response for too long. After a pause of this
+ * process, data that arrived meanwhile is not read yet, so connections that seem silent are kept
+ * until the next tick. */
 static void sweep_connections(struct edge *edge, uint64_t now)
 {
     bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + OWN_PAUSE_US;
@@ -189,8 +190,7 @@
     cluster_tell_draining(&edge->cluster);
 }
 
-/* --- start
- * ------------------------------------------------------------------------------------------- */
+/* --- Startup --- */
 
 static struct http_service *open_service(struct edge *edge, const char *text,
                                          service_handler *handler)
@@ -223,8 +223,8 @@
     return 0;
 }
 
-/* What leaves serves on for the bound, from when its list knows: that is some time before this
- * gateway does. */
+/* A leaving backend serves for the drain bound from the time its list knows, which is some time
+ * before this gateway does. */
 static uint64_t drain_usable_us(const struct settings *settings)
 {
     return settings->drain_bound_ms * 1000 - DRAIN_MARGIN_US;
--- a/src/edge/edge_addresses.c
+++ b/src/edge/edge_addresses.c
@@ -1,12 +1,12 @@
-/* Which addresses callers are told to use. */
+/* Tells clients which gateway addresses to use. */
 #include "edge/edge_internal.h"
 
 #include <arpa/inet.h>
 #include <string.h>
 
-/** Callers take no more. */
+/** Clients use no more addresses than this. */
 #define MAX_CALLER_ADDRESSES 64
-/** For which callers may keep the answer; some keep it three times as long. */
+/** Time for which clients may cache the response; some keep it three times as long. */
 #define ADDRESS_MAX_AGE_S 1.0
 
 struct address_list {
@@ -27,7 +27,8 @@
     list->count++;
 }
 
-/* Gateways that take new clients, as far as `question` wants them. */
+/* Adds gateways that accept new clients; with `same_zone` only those in the zone of `question`.
+ */
 static void collect_addresses(struct edge *edge, const struct address_question *question,
                               bool same_zone, struct address_list *list)
 {
--- a/src/edge/edge_client.c
+++ b/src/edge/edge_client.c
@@ -1,4 +1,4 @@
-/* Connections of clients: requests in, answers out, one request at a time. */
+/* Client connections, with one request in progress at a time on each. */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
@@ -7,8 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Bytes of further requests that may wait behind the present one. */
+/** Bytes of pipelined requests buffered behind the current one before reading pauses. */
 #define PIPELINE_MAX_BYTES 262144
+/* Limits and timeouts until the first configuration is known. */
 #define DEFAULT_HEAD_BYTES 16384
 #define DEFAULT_BODY_BYTES 4194304
 #define DEFAULT_HEAD_TIMEOUT_MS 5000
@@ -23,9 +24,9 @@
     bool parsing;
     bool streaming;
     bool continued;            /* "100 Continue" was sent */
-    uint64_t idle_since;       /* time of the last answer, or of the accept */
-    uint64_t head_started;     /* time of the first byte of a request, 0: none */
-    uint64_t last_received_at; /* time of the last bytes */
+    uint64_t idle_since;       /* time of the last response, or of the accept */
+    uint64_t head_started;     /* time of the first byte of the current request; 0: none */
+    uint64_t last_received_at; /* time at which bytes last arrived */
     struct edge_client *next;
     struct edge_client **link;
 };
@@ -192,7 +193,7 @@
     return client->request.keep_alive && !client->edge->stopping_since;
 }
 
-/* The answer is out: go on with the next request, or close. */
+/* The response was written: continues with the next request, or closes the connection. */
 static void finish_response(struct edge_client *client, bool keep)
 {
     client->exchange = NULL;
@@ -310,7 +311,7 @@
         return now > client->idle_since + idle_ms * 1000;
     if (!client->request.head_complete)
         return now > client->head_started + head_ms * 1000;
-    return now > client->last_received_at + idle_ms * 1000; /* a long body may come slowly */
+    return now > client->last_received_at + idle_ms * 1000; /* a long body may arrive slowly */
 }
 
 void edge_client_close_expired(struct edge *edge, uint64_t now)
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -1,5 +1,6 @@
 /**
- * State of the edge that its modules share. One loop, one thread.
+ * State and functions that the modules of the edge share. All of it runs on one event loop in one
+ * thread.
  */
 #ifndef SHUNTRUN_EDGE_INTERNAL_H
 #define SHUNTRUN_EDGE_INTERNAL_H
@@ -21,7 +22,7 @@
 #include "platform/platform.h"
 
 #define EDGE_MAX_SERVICES 64
-/** Routes whose callers' times are known; those of further ones count as new callers. */
+/** Routes whose client deadlines are tracked; on further routes every client counts as new. */
 #define EDGE_MAX_ROUTES 256
 
 struct crash_check;
@@ -30,7 +31,7 @@
 struct upstream;
 struct weight_relay;
 
-/** What this edge keeps of one service. */
+/** Adaptive state of one service: retry budget, refusal shares and stream lengths. */
 struct service_state {
     char service[BACKEND_NAME_SIZE];
     struct repeat_budget budget;
@@ -39,9 +40,9 @@
     struct stream_length stream_length;
 };
 
-/** What callers of one route say of their time. */
+/** Deadlines that the clients of one route have sent. */
 struct route_times {
-    uint64_t route; /**< hash of its name */
+    uint64_t route; /**< hash of the route's name */
     struct caller_times times;
 };
 
@@ -52,13 +53,13 @@
     const struct settings *settings;
     struct route_table *table; /**< NULL before the first configuration */
     struct backend_pool *pool;
-    struct weight_relay *relay; /**< hands weights on to loaders */
+    struct weight_relay *relay; /**< forwards model weights to loaders */
     struct version_bounds versions;
     struct service_state services[EDGE_MAX_SERVICES];
     uint32_t service_count;
     struct route_times routes[EDGE_MAX_ROUTES];
     uint32_t route_count;
-    bool has_unconfigured_services; /**< some entry's service was not configured */
+    bool has_unconfigured_services; /**< a listed backend's service was not configured */
     struct random_stream random;
     uv_tcp_t listener;
     struct http_service *directory;
@@ -66,125 +67,131 @@
     uv_timer_t timer;
     uint64_t last_tick;
     struct edge_client *clients;
-    struct upstream *upstreams;       /**< all connections to back ends, the newest first */
-    struct crash_check *crash_checks; /**< broken connections whose back end may have ended */
-    uint64_t barred_starts[CRASH_BARRED_MOST]; /**< to the request that is placed now */
-    struct exchange *queue; /**< requests that wait for a place, most urgent first */
-    uint32_t active;        /**< requests that have no final answer yet */
+    struct upstream *upstreams;                /**< all connections to backends, newest first */
+    struct crash_check *crash_checks;          /**< checks of backends that may have crashed */
+    uint64_t barred_starts[CRASH_BARRED_MOST]; /**< barred to the request being dispatched */
+    struct exchange *queue; /**< requests that wait for a slot, most urgent first */
+    uint32_t active;        /**< requests without a final response */
     uint32_t gateways;      /**< alive now, at least 1 */
-    uint32_t max_gateways;  /**< the most seen lately; shares the repeat budget */
+    uint32_t max_gateways;  /**< greatest number seen; divides the retry budget */
     uint64_t started;
-    bool has_responded;      /**< a client got a whole answer since the start */
+    bool has_responded;      /**< a complete response was sent since the start */
     uint64_t stopping_since; /**< 0: not stopping */
-    bool listener_closed;    /**< takes no more requests */
+    bool listener_closed;    /**< no more connections are accepted */
 };
 
-/* --- clients: edge_client.c ----------------------------------------------------------------------
- */
+/* --- Client connections: edge_client.c --- */
 
+/** \brief Connection callback of the listener, whose data is the edge. */
 void edge_client_accept(uv_stream_t *listener, int status);
-/** \brief Close clients that are idle, or slow with a head, for too long. */
+/** \brief Closes connections that exceeded the idle timeout or the timeout for request headers. */
 void edge_client_close_expired(struct edge *edge, uint64_t now);
-/** \brief Close all connections on which no request is in progress. */
+/** \brief Closes all connections without a request in progress. */
 void edge_client_close_idle(struct edge *edge);
-/** \brief A whole answer; the exchange is over afterwards. */
+/** \brief Sends a complete response; the exchange ends with it. `head` is the status line and
+ * headers without Content-Length. */
 void edge_client_send_response(struct edge_client *client, const struct buffer *head,
                                const void *body, size_t size);
-/** \brief The head of an answer that comes in parts; `head` ends with its own fields. */
+/** \brief Begins a chunked response. `head` is the status line and headers without
+ * Transfer-Encoding. */
 void edge_client_stream_begin(struct edge_client *client, const struct buffer *head);
+/** \brief Sends one chunk; nothing where `size` is 0. */
 void edge_client_stream_data(struct edge_client *client, const void *bytes, size_t size);
+/** \brief Ends the chunked response, and with it the exchange. */
 void edge_client_stream_end(struct edge_client *client);
-/** \brief Break the connection, so that what was sent cannot look complete. */
+/** \brief Resets the connection, so that a truncated response cannot look complete. */
 void edge_client_abort(struct edge_client *client);
-/** \brief End the requests that are known to crash back ends now, wherever they are. */
+/** \brief Fails all requests in progress that are now known to crash backends. */
 void edge_client_fail_blocked(struct edge *edge);
-/** \brief Have each request look at the time that it has, after a pause of the process. */
+/** \brief Rechecks the deadline of each request after a pause of the process. */
 void edge_client_recheck_deadlines(struct edge *edge);
+/** \return response bytes that the client has not taken yet */
 size_t edge_client_unsent_bytes(const struct edge_client *client);
 struct edge *edge_client_edge(const struct edge_client *client);
 const struct http_message *edge_client_request(const struct edge_client *client);
 
-/* --- requests: exchange.c ------------------------------------------------------------------------
- */
+/* --- Requests: exchange.c --- */
 
-/** \brief Take the request that the client has sent whole. \return NULL when answered at once */
+/** \brief Begins the exchange for a complete request. \return NULL if it was rejected, and
+ * responded to */
 struct exchange *exchange_begin(struct edge *edge, struct edge_client *client);
-/** \brief Send it to a back end, or let it wait for one. */
+/** \brief Sends the request to a backend, or queues it. */
 void exchange_start(struct exchange *exchange);
-/** \brief End it if its time is over; else set its timer anew. */
+/** \brief Fails the request if its deadline has passed; otherwise restarts its timer. */
 void exchange_recheck_deadlines(struct exchange *exchange);
-/** \brief The client is gone: stop the work. */
+/** \brief Cancels the request, as its client has disconnected. */
 void exchange_cancel(struct exchange *exchange);
-/** \brief End it if it is among those that crash back ends. */
+/** \brief Fails the request if it is known to crash backends. */
 void exchange_fail_if_blocked(struct exchange *exchange);
-/** \return requests that wait for a place */
+/** \return number of queued requests */
 uint32_t exchange_queue_length(const struct edge *edge);
-/** \brief Places may be free again: offer them to those that wait. */
+/** \brief Offers slots that may be free again to the queued requests. */
 void exchange_dispatch_queued(struct edge *edge);
 
 enum upstream_event {
-    UPSTREAM_NOT_SENT, /**< no connection came up */
-    UPSTREAM_WITHHELD, /**< one came up, but the request must not go there any more */
-    UPSTREAM_PROGRESS, /**< more of the head or body is there */
-    UPSTREAM_DONE,     /**< the answer is complete */
-    UPSTREAM_BROKEN,   /**< the connection broke or the bytes are no answer */
+    UPSTREAM_NOT_SENT, /**< the connection could not be established */
+    UPSTREAM_WITHHELD, /**< nothing was sent, as the request must not go there any more */
+    UPSTREAM_PROGRESS, /**< more of the headers or body arrived */
+    UPSTREAM_DONE,     /**< the response is complete */
+    UPSTREAM_BROKEN,   /**< the connection broke, or the bytes are no valid response */
 };
 
-/** An answer as far as it has come, and its head once that is complete. */
+/** A response as far as it was received, with its decoded headers once they are complete. */
 struct upstream_response {
     struct http_message message;
     struct answer_head head;
 };
 
-/** \brief Told by the connection; but for PROGRESS, it no longer belongs to the exchange then. */
+/** \brief Handles an event of the upstream connection, which is detached from the exchange by then,
+ * except for UPSTREAM_PROGRESS. */
 void exchange_on_upstream_event(struct exchange *exchange, enum upstream_event event,
                                 struct upstream_response *response);
 /**
- * \brief Write the request for the present back end, with the time that is left now.
- * \return false when it must not go there any more
+ * \brief Writes the request for the current backend, with the time that is left until its deadline.
+ * \return false if it must not be sent there any more
  */
 bool exchange_write_request(struct exchange *exchange, struct buffer *bytes);
-/** \return whether this answer belongs to another request and is to be passed over */
+/** \return whether this response belongs to another request and must be skipped */
 bool exchange_is_mismatched_response(const struct exchange *exchange,
                                      const struct answer_head *head);
 
-/* --- connections to back ends: upstream.c
- * ---------------------------------------------------------- */
+/* --- Connections to backends: upstream.c --- */
 
 /**
- * \brief Send the request that exchange_write_request() gives, now or when a connection is up.
- * \param max_idle_us use no connection that was idle for longer
+ * \brief Sends the request by exchange_write_request(): at once on an idle connection, or later on
+ * a new one. \param max_idle_us longest time for which a reused connection may have been idle
+ * \return NULL if nothing will be sent: no connection could be opened, or the request must not go
+ * to the backend any more
  */
 struct upstream *upstream_send(struct edge *edge, struct backend *backend,
                                struct exchange *exchange, uint64_t max_idle_us);
-/** \brief Stop: the back end sees its connection close. */
+/** \brief Cancels the request by closing its connection. */
 void upstream_cancel(struct upstream *upstream);
-/** \brief Whether the request was handed to a connection that is up. */
+/** \return whether the request was written to an established connection */
 bool upstream_is_sent(const struct upstream *upstream);
-/** \return whether a connection to the back end is up */
+/** \return whether a connection to the backend is established */
 bool upstream_has_open_connection(const struct backend *backend);
-/** \brief Read no more for now, or go on. */
+/** \brief Pauses or resumes reading. */
 void upstream_pause(struct upstream *upstream, bool pause);
-/** \brief Close idle connections whose time is over, and give up those that do not come up; at once
- * where the list has dropped the back end. */
+/** \brief Closes idle connections past their keep-alive time and connects that timed out; those to
+ * unlisted backends at once. */
 void upstream_close_expired(struct edge *edge, uint64_t now);
-/** \brief Close all idle connections, after the process stood still. */
+/** \brief Closes all idle connections, after a pause of the process. */
 void upstream_close_idle(struct edge *edge);
 
-/* --- what the platform publishes: edge_state.c ---------------------------------------------------
- */
+/* --- Published state: edge_state.c --- */
 
-/** \brief State of a service, begun at its first use. */
+/** \return state of the service, created at first use; services beyond EDGE_MAX_SERVICES share the
+ * first one's */
 struct service_state *edge_service(struct edge *edge, const char *service);
-/** \return times of the route's callers, begun at its first use, or NULL when there are too many */
+/** \return deadlines of the route's clients, created at first use; NULL beyond EDGE_MAX_ROUTES */
 struct caller_times *edge_route_times(struct edge *edge, const char *route);
-/** \brief An item of what the platform publishes is new, changed or gone. */
+/** \brief Applies a published item that was added, changed or removed. */
 void edge_apply_item(struct edge *edge, const struct state_item *item);
 
-/* --- where callers go: edge_addresses.c ----------------------------------------------------------
- */
+/* --- Gateway addresses: edge_addresses.c --- */
 
-/** \brief Answer the question of a caller which addresses to use. */
+/** \brief Responds to a client that asks which gateway addresses to use. */
 void edge_respond_with_addresses(struct edge *edge, struct service_call *call,
                                  const struct service_request *request);
 
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -1,4 +1,4 @@
-/* What the platform publishes, as far as an edge needs it: routes, back ends, versions of weights.
+/* Applies published platform state: configuration, backends, and versions of weights.
  */
 #include "base/log.h"
 #include "base/metrics.h"
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time before the bound on old versions at which they get no new work. */
+/** Outdated versions get no new requests from this long before their bound. */
 #define VERSION_MARGIN_US 1100000
-/** The first news of this life say nothing of when they became true. */
+/** Updates in this time after startup do not show when their content became true. */
 #define STARTUP_STATE_US 1500000
 
 struct service_state *edge_service(struct edge *edge, const char *service)
@@ -49,7 +49,7 @@
     return &times->times;
 }
 
-/* The relay reads weights from where the configuration says. */
+/* Sets the origin from which the relay reads weights to the configured one. */
 static void update_relay_origin(struct edge *edge)
 {
     struct sockaddr_in address;
@@ -74,8 +74,8 @@
               backend ? (int)backend->unread : -1);
 }
 
-/* An entry that names no back end to use is taken like one that went: it may have been good before,
- * and whoever it stood for may have left. */
+/* An invalid entry is treated like a removed one: it may have been valid before, and the backend it
+ * described may have left. */
 static void reject_backend(struct edge *edge, const char *id, const struct state_item *item,
                            const char *problem)
 {
@@ -91,8 +91,8 @@
     return !edge->table || route_table_find_service(edge->table, service) != ROUTE_NO_SERVICE;
 }
 
-/* \return since when an entry says what it says; 0: that is not known, as it was taken over whole,
- * or came while the list's keeper failed */
+/* \return time at which the entry got its present content; 0: unknown, as it was part of the
+ * initial state or arrived while the store was failing */
 static uint64_t change_time(const struct edge *edge, const struct state_item *item)
 {
     bool at_start = cluster_now() < edge->started + STARTUP_STATE_US;
@@ -111,7 +111,7 @@
         reject_backend(edge, id, item, status_message());
         return;
     }
-    /* It may stand at the address of another one; a later configuration may name its service. */
+    /* It may use the address of another backend; a later configuration may add its service. */
     if (!is_service_configured(edge, listing.service)) {
         edge->has_unconfigured_services = true;
         reject_backend(edge, id, item, "its service is not configured");
@@ -131,7 +131,7 @@
               backend->in_flight, backend->unread);
 }
 
-/* Entries whose service was not configured yet. */
+/* Applies all entries again, as the service of some was not configured before. */
 static void reapply_backends(struct edge *edge)
 {
     const struct state_cache *state = edge->cluster.state;
@@ -181,7 +181,7 @@
     uint64_t bound = edge->settings->version_bound_ms * 1000;
     uint64_t named = item->learned;
     if (now < edge->started + STARTUP_STATE_US && now - named < 100000)
-        named = now > bound ? now - bound / 2 : 0; /* it may be old news */
+        named = now > bound ? now - bound / 2 : 0; /* it may have been published long ago */
     log_event(LOG_LEVEL_INFO, "weights", "version-named",
               "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version, (now - named) / 1000);
     version_bounds_name(&edge->versions, model, version, named + bound - VERSION_MARGIN_US);
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -1,4 +1,4 @@
-/* One request of a client: its beginning, and what happens by time alone. */
+/* Beginning and timers of an exchange: deadline, wait for a slot, silence of the backend. */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
@@ -8,21 +8,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time for which a request without a client deadline or route timeout is held. */
+/** Shortest time for which a request may wait for a slot. */
 #define MIN_QUEUE_WAIT_US 15000
+/** Deadline of a request without a client deadline on a route without a timeout. */
 #define DEFAULT_REQUEST_TIMEOUT_MS 10000
-/** Silence before the first byte after which a repeatable request goes elsewhere. */
+/** Silence before the first byte after which a retryable request goes to another backend, as a
+ * multiple of the route's latency target. */
 #define SILENCE_LATENCY_TARGETS 2.2
+/** The least silence for that, whatever the target. */
 #define MIN_SILENCE_US 300000
-/** Silence between events after which a resumable stream goes elsewhere, if another can go on. */
+/** Silence between events after which a resumable stream goes to another backend that can continue
+ * it. */
 #define STREAM_SILENCE_US 1000000
-/** An engine that was not heard of for so long may be as silent as the one that a stream is at. */
+/** An engine without a report or response for this long may be as silent as the stream's current
+ * one. */
 #define ALTERNATIVE_MAX_SILENCE_US (STREAM_SILENCE_US / 2)
-/** Between two looks for a back end that could take over from a silent one. */
+/** Interval of the search for a backend that can take over from a silent one. */
 #define SILENCE_RECHECK_US 100000
 
-/* --- time ----------------------------------------------------------------------------------------
- */
+/* --- Timers --- */
 
 static uint32_t count_ended(const struct exchange *exchange)
 {
@@ -48,7 +52,7 @@
     };
 }
 
-/* Silence of the present back end after which another one is looked for. */
+/* \return silence of the current backend after which another one is searched for */
 static uint64_t silence_limit(const struct exchange *exchange)
 {
     if (exchange->streaming)
@@ -62,7 +66,7 @@
     return exchange->streaming ? exchange->last_event_at : exchange->sent_at;
 }
 
-/* Time at which the silence of the back end is too long, 0: never. */
+/* \return time at which the backend's silence is too long; 0: never */
 static uint64_t silence_deadline(const struct exchange *exchange)
 {
     if (exchange->state != EXCHANGE_SENT || exchange->paused || !exchange->upstream ||
@@ -119,8 +123,8 @@
     exchange_dispatch(exchange);
 }
 
-/* A back end that sends nothing may be at work still: it is left only for another one that can take
- * the request. While there is none, silence ends nothing but the time of the request. */
+/* A silent backend may still be working, so it is left only for another one that can take the
+ * request. Until there is one, only the request's deadline ends the wait. */
 static void on_silence(struct exchange *exchange, uint64_t now)
 {
     uint64_t late = now > exchange->timer_due ? now - exchange->timer_due : 0;
@@ -149,7 +153,7 @@
     exchange_fail(exchange, untouched ? 503 : 504, END_DEADLINE);
 }
 
-/* The silence of its back end meanwhile was this process's own. */
+/* The backend seemed silent during the pause because this process did not read. */
 void exchange_recheck_deadlines(struct exchange *exchange)
 {
     uint64_t now = cluster_now();
@@ -195,8 +199,7 @@
         uv_timer_start(&exchange->timer, on_timer, wait, 0);
 }
 
-/* --- begin ---------------------------------------------------------------------------------------
- */
+/* --- Begin --- */
 
 static void reject_early(struct edge *edge, struct edge_client *client,
                          const struct request_head *head, unsigned status, const char *reason)
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -1,4 +1,5 @@
-/* How a request, or one attempt at a back end, ends; and the one log line that says so. */
+/* Ends of requests and attempts: local responses, Retry-After, one log line for each request.
+ */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
@@ -8,27 +9,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time after which a refused client may come back when no engine serves at all: that takes seconds
- *  to end, and clients wait for a third of their time at most, 2.0 s of 6. */
+/** Retry-After while no engine serves at all: such an outage lasts for seconds, and clients wait
+ * for at most a third of their deadline, 2.0 s of 6. */
 #define NO_BACKEND_RETRY_MS 1700
+/** Random part that is added, so that clients do not retry all at once. */
 #define NO_BACKEND_RETRY_SPREAD_MS 500
-/** Callers come back spread over so long after the end of a time in which no back end wants
- * requests: each back end gets one request from a gateway first, which takes about as long to show
- * that it works. */
+/** Retries after the end of a backoff of all backends are spread over this time: each backend first
+ * gets a single request from a gateway, which takes about as long to show that it works. */
 #define BACKOFF_RETRY_SPREAD_MS 500
-/** When engines are full. The share moves with some second of requests; a fifth refused means that
- *  engines will be full for a while. */
+/** Retry-After while engines are full. The moving share covers about one second of requests; a
+ * fifth of them refused means that engines will stay full for a while. */
 static const struct come_back_settings full_retry_settings = {
     .weight = 0.05, .lasting_share = 0.2, .least_ms = 500, .most_ms = 1200, .spread_share = 65};
 
-/* What a caller reads whose request crashes back ends. There is no time to come back: it would
- * crash the next one too. */
+/* Body of the response to a request that crashes backends. It has no Retry-After, as the request
+ * would crash the next backend too. */
 #define BLOCKED_TEXT                                                                               \
     "This request is not run: several back ends ended while they ran it. Do not send it again "    \
     "unchanged.\n"
 
-/* --- the trail of an exchange, for its one log line
- * ----------------------------------------------- */
+/* --- Trail of attempts, for the log line --- */
 
 void exchange_trail_append(struct exchange *exchange, const char *format, ...)
 {
@@ -78,7 +78,7 @@
     return end_names[end];
 }
 
-/* A client lost a stream that it was reading. */
+/* Counts a stream that was aborted after it had begun. */
 static void count_cut_stream(enum end_reason reason)
 {
     switch (reason) {
@@ -103,8 +103,7 @@
     }
 }
 
-/* --- end of an exchange --------------------------------------------------------------------------
- */
+/* --- End of an exchange --- */
 
 static void on_timer_closed(uv_handle_t *handle)
 {
@@ -123,7 +122,8 @@
     [BACKEND_CANCELLED] = "cancelled",
 };
 
-/* That it ended is kept in mind: the end of an engine is not an attempt of its stream. */
+/* Keeps count of ended backends, as the end of an engine does not count as an attempt of its
+ * stream. */
 static void drop_first_tried(struct exchange *exchange)
 {
     exchange->ended_before += tried_has_ended(&exchange->tried[0]);
@@ -134,7 +134,7 @@
     exchange->excluded_from -= exchange->excluded_from > 0;
 }
 
-/* Takes over the reference to the back end. */
+/* Takes over the reference to the backend. */
 static void add_tried(struct exchange *exchange, struct backend *backend, bool ran)
 {
     if (exchange->tried_count == BACKEND_MAX_EXCLUDED)
@@ -152,7 +152,6 @@
     return exchange->tried_count ? exchange->tried[exchange->tried_count - 1].backend : NULL;
 }
 
-/* Let go of the back end. */
 void exchange_end_attempt(struct exchange *exchange, enum backend_result result)
 {
     uint64_t now = cluster_now();
@@ -179,8 +178,8 @@
     add_tried(exchange, backend, result == BACKEND_BROKEN);
 }
 
-/* A cut stream is a kind of its own: the lines of a kind are bounded, and many refusals must not
- * crowd out the one that says why a client lost its stream. */
+/* Aborted streams have their own event: the log limits the lines of each event, and many refusals
+ * must not displace the line that shows why a client lost its stream. */
 static const char *end_event(const struct exchange *exchange, bool good)
 {
     if (good)
@@ -257,7 +256,6 @@
     buffer_clear(&head);
 }
 
-/* The final answer is one of this system's own. */
 void exchange_fail(struct exchange *exchange, unsigned status, enum end_reason reason)
 {
     struct edge_client *client = exchange->client;
@@ -280,7 +278,6 @@
                                  reason == END_BLOCKED ? BLOCKED_TEXT : "");
 }
 
-/* Nothing has run: say so, or admit that it is not known. */
 void exchange_fail_by_run_state(struct exchange *exchange, enum end_reason reason)
 {
     exchange_fail(exchange, exchange->may_have_run ? 502 : 503, reason);
--- a/src/edge/exchange_internal.h
+++ b/src/edge/exchange_internal.h
@@ -1,6 +1,6 @@
 /**
- * A request of a client from its whole arrival to its one final answer: state and calls that the
- * exchange modules share.
+ * An exchange: one client request, from its complete arrival to its final response. State and
+ * functions that the exchange modules share.
  */
 #ifndef SHUNTRUN_EXCHANGE_INTERNAL_H
 #define SHUNTRUN_EXCHANGE_INTERNAL_H
@@ -10,44 +10,46 @@
 #include "edge/edge_internal.h"
 
 #define US_PER_MS ((uint64_t)1000)
+/** Bytes of the attempts that the log line at a request's end shows. */
 #define TRAIL_SIZE 320
-/** A client with so many bytes unread stops the back end from sending more. */
+/** With more response bytes than this unsent to the client, reading from the backend pauses. */
 #define CLIENT_UNSENT_MAX_BYTES 262144
 
-/** Why a request ended, or an attempt did. */
+/** Why a request or an attempt ended. */
 enum end_reason {
     END_DONE,
-    END_DEADLINE,          /**< its final answer was due */
-    END_BACKENDS_FULL,     /**< no place came free in time */
-    END_NO_BACKEND,        /**< none can take it, or go on with its stream */
-    END_BACKED_OFF,        /**< all that can take it want nothing for longer than it may wait */
-    END_NO_CONNECTION,     /**< not even an attempt to connect could be made */
-    END_BACKEND_SILENT,    /**< the back end sent nothing for too long */
-    END_CONNECTION_BROKEN, /**< the connection broke, or the bytes were no answer */
-    END_TRUNCATED_EVENT,   /**< the answer was complete by its framing, but ended within an event */
-    END_NO_SEAL,           /**< an answer that its back end did not sign */
-    END_REFUSED,           /**< the back end did not run it */
-    END_MISDIRECTED,       /**< another back end stands there, or it has other weights */
-    END_RESUME_REFUSED,    /**< another answer than the rest of a stream */
-    END_BACKEND_ERROR,     /**< the back end reported a failure of its own */
-    END_BLOCKED,           /**< it crashes the back ends that run it */
-    END_HELD,              /**< it may crash them, and its turn to run apart did not come in time */
+    END_DEADLINE,      /**< the deadline of the request passed */
+    END_BACKENDS_FULL, /**< no slot became free in time */
+    END_NO_BACKEND,    /**< no backend can run it, or resume its stream */
+    END_BACKED_OFF, /**< all backends that can run it asked for a backoff longer than it may wait */
+    END_NO_CONNECTION,     /**< no connect could be started */
+    END_BACKEND_SILENT,    /**< the backend sent nothing for too long */
+    END_CONNECTION_BROKEN, /**< the connection broke, or the bytes were no valid response */
+    END_TRUNCATED_EVENT,   /**< the body was complete, but ended within an event */
+    END_NO_SEAL,           /**< the response lacks the backend's seal */
+    END_REFUSED,           /**< the backend did not run it */
+    END_MISDIRECTED,       /**< another backend uses the address, or it has other weights */
+    END_RESUME_REFUSED,    /**< the response was not the rest of the stream */
+    END_BACKEND_ERROR,     /**< the backend reported a failure of its own */
+    END_BLOCKED,           /**< it crashes the backends that run it */
+    END_HELD,              /**< it may crash backends, and could not run isolated in time */
 };
 
 enum exchange_state { EXCHANGE_WAITING, EXCHANGE_SENT };
 
-/** A back end that the request was with. */
+/** A backend that was tried for the request. */
 struct tried_backend {
     struct backend *backend;
-    bool ran; /* the request was handed over there, and was neither refused nor withdrawn */
+    bool ran; /* the request was sent there, and neither refused nor cancelled */
 };
 
-/** \return whether the back end ended under the request, for all that is known */
+/** \return whether the backend is believed to have ended while it ran the request */
 static inline bool tried_has_ended(const struct tried_backend *tried)
 {
     return tried->ran && tried->backend->ended_until;
 }
 
+/** One client request in progress. Times are microseconds of cluster_now(). */
 struct exchange {
     struct edge *edge;
     struct edge_client *client;
@@ -59,158 +61,164 @@
     struct request_head head;
     enum exchange_state state;
     uint64_t arrived;
-    uint64_t deadline_at; /* the final answer is due */
-    uint64_t wait_until;  /* without a place by then it is refused */
+    uint64_t deadline_at; /* of the final response */
+    uint64_t wait_until;  /* it is refused if it has no slot by then */
     struct upstream *upstream;
     struct backend *backend;
-    struct tried_backend tried[BACKEND_MAX_EXCLUDED]; /* the last ones */
+    struct tried_backend tried[BACKEND_MAX_EXCLUDED]; /* the most recent ones, oldest first */
     uint32_t tried_count;
-    uint32_t ended_before;  /* back ends tried before these that ended under it */
-    uint32_t excluded_from; /* index of the first of them that is left out of the choice */
-    uint32_t sends;         /* requests handed to a connection that came up */
+    uint32_t ended_before;  /* backends dropped from `tried` that ended while they ran it */
+    uint32_t excluded_from; /* index of the first in `tried` that must not be chosen */
+    uint32_t sends;         /* times it was sent on an established connection */
     uint32_t refusals;      /* of these, refused after the stream had begun */
-    uint32_t backoffs;      /* of these, refused by back ends that want nothing for a while */
-    bool send_counted;      /* the present attempt is among them */
-    bool no_backend;        /* none was fit when it was last looked for */
-    bool is_client_retry;   /* its caller was refused before */
-    uint64_t recheck_at;    /* for a place, while it stands in no line; 0: it does */
-    bool may_have_run;      /* a send ended without a word on whether it ran */
+    uint32_t backoffs;      /* of these, refused by backends that asked for a backoff */
+    bool send_counted;      /* `sends` includes the current attempt */
+    bool no_backend;        /* no backend was eligible at the last choice, and none was tried */
+    bool is_client_retry;   /* its client was refused before */
+    uint64_t recheck_at;    /* next attempt to get a slot while it is not queued; 0: none set */
+    bool may_have_run;      /* an attempt ended without showing whether the backend ran it */
     uint64_t sent_at;
-    uint64_t first_byte_received_at; /* of the present back end, 0: none */
+    uint64_t first_byte_received_at; /* of the current backend; 0: none */
     uint64_t last_event_at;
-    uint64_t
-        silence_tolerated_until; /* the present back end's silence is borne until then at least */
-    bool streaming;              /* the head went out to the client */
+    uint64_t silence_tolerated_until; /* the backend is not left for its silence before then */
+    bool streaming;                   /* the response headers were sent to the client */
     struct event_stream events;
-    uint64_t version; /* of the weights of the first back end */
-    bool paused;
-    bool awaiting_crash_check;    /* whether its last back end ended decides on one more attempt */
-    enum end_reason retry_reason; /* of that attempt's end */
-    bool resuming;                /* the next back end goes on with a stream that has begun */
-    bool owes_retry_charge;       /* the next send takes a repeat from the shared budget */
-    uint64_t not_before;          /* no back end is looked for earlier */
-    uint64_t heard_after;         /* the next engine must have been heard of since, 0: not */
-    char trail[TRAIL_SIZE];       /* attempts with what decided them, for the log */
+    uint64_t version;             /* weights that the first backend used */
+    bool paused;                  /* no reading from the backend until the client has taken more */
+    bool awaiting_crash_check;    /* whether it has ended decides on a retry */
+    enum end_reason retry_reason; /* why the last attempt ended */
+    bool resuming;                /* the next backend continues a stream that has begun */
+    bool owes_retry_charge;       /* the next send takes a retry from the shared budget */
+    uint64_t not_before;          /* no backend is chosen earlier */
+    uint64_t heard_after;   /* the next engine must have reported or responded since; 0: any */
+    char trail[TRAIL_SIZE]; /* attempts with the figures of the choice, for the log */
     size_t trail_length;
     uv_timer_t timer;
-    uint64_t timer_due; /* when the timer was set to fire */
+    uint64_t timer_due; /* time for which the timer was set */
     struct exchange *next_queued;
     bool is_queued;
-    bool suspected;  /* a back end broke off while it was there */
-    bool held;       /* it waits, or has waited, to run apart from others */
-    bool identified; /* `identity` is worked out */
+    bool suspected;  /* a backend broke the connection while it ran the request */
+    bool held;       /* it is or was delayed as it may crash backends */
+    bool identified; /* `identity` is computed */
     struct request_identity identity;
 };
 
-/* --- exchange.c ---- */
+/* --- exchange.c --- */
 
-/** \brief What decides on one more attempt, counting the present one if it was sent. */
+/** \return what decides on a retry; the current attempt counts if it was sent */
 struct attempt_facts exchange_facts(const struct exchange *exchange, uint64_t now);
-/** \brief Set the timer to the next until at which time alone changes something. */
+/** \brief Sets the timer to the next deadline or recheck. */
 void exchange_arm_timer(struct exchange *exchange);
 
-/* --- exchange_suspicion.c ---- */
+/* --- exchange_suspicion.c --- */
 
-/** \brief What makes it the same request as others, worked out at the first use. */
+/** \return what identical requests have in common, computed at first use */
 const struct request_identity *exchange_identity(struct exchange *exchange);
-/** \return whether it crashes the back ends that run it, as far as is known now */
+/** \return whether it crashes the backends that run it, as far as is known now */
 bool exchange_is_blocked(struct exchange *exchange);
-/** \return a key by which a suspect is placed apart from others; 0: it is no suspect */
+/** \return key of a suspect's rendezvous weights, which keep it apart from other requests; 0: no
+ * suspect */
 uint64_t exchange_isolation_key(struct exchange *exchange);
-/** \return what is known of it, or NULL */
+/** \return the evidence against it, or NULL */
 const struct crash_entry *exchange_crash_entry(struct exchange *exchange);
-/** \brief Its back end broke the connection, and may have ended. */
+/** \brief The backend broke the connection while it ran the request, and may have crashed. */
 void exchange_on_run_lost(struct exchange *exchange);
-/** \brief A back end ran it to a whole answer and lives. */
+/** \brief Clears the request of evidence, as a backend completed it and lives. */
 void exchange_clear_suspicion(struct exchange *exchange);
 
-/* --- exchange_isolation.c ---- */
+/* --- exchange_isolation.c --- */
 
-/** \return time up to which it must not go anywhere, as it is held back, or as news that decide on
- * it are on their way; 0: it need not wait */
+/** \return time until which it must not be sent, as it is held, or as updates that decide on it are
+ * in transit; 0: it need not wait */
 uint64_t exchange_must_wait_until(struct exchange *exchange, uint64_t now);
-/** \return time up to which it is held back, as many back ends ended while it was there; 0: it is
- * not */
+/** \return time until which it is held, as many backends ended while they ran it; 0: not held */
 uint64_t exchange_held_until(struct exchange *exchange, uint64_t now);
-/** \brief Wait for that time; a request that has not begun and cannot wait so long is refused. */
+/** \brief Delays the request until then; without a begun stream it is refused if it cannot wait so
+ * long. */
 void exchange_hold_until(struct exchange *exchange, uint64_t until);
-/** \brief Fill in where a request goes that is under suspicion. */
+/** \brief Sets the criteria that keep a suspect apart from other requests. */
 void exchange_fill_isolation(struct exchange *exchange, uint64_t now,
                              struct backend_wish *criteria);
-/** \return whether it is not to be sent to a chosen back end now, but waits for a lease on it */
+/** \return whether it must wait for a lease on the chosen backend; it is delayed or refused then
+ */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now);
 
-/* --- exchange_line.c ---- */
+/* --- exchange_queue.c --- */
 
-/** \return 0 for the most urgent, as back ends are told */
+/** \return urgency as sent to backends; 0: most urgent */
 int exchange_urgency(const struct exchange *exchange);
-/** \brief Wait for a place, by urgency and arrival. */
+/** \brief Queues the request for a slot, ordered by urgency and arrival. */
 void exchange_enqueue(struct exchange *exchange);
-/** \brief Wait beside the line: no news but time lets it go on. */
+/** \brief Waits outside the queue, where free slots are not offered to it, and tries again at that
+ * time. */
 void exchange_wait_until(struct exchange *exchange, uint64_t until);
+/** \brief Removes the request from the queue, if it is there. */
 void exchange_dequeue(struct exchange *exchange);
 
-/* --- end_reason.c ---- */
+/* --- exchange_end.c --- */
 
-/** \return the word for logs */
+/** \return name for logs */
 const char *end_reason_name(enum end_reason end);
-/** \brief Append to the trail that the log line of the request's end shows. */
+/** \brief Appends to the trail, which the log line at the request's end shows. */
 void exchange_trail_append(struct exchange *exchange, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-/** \brief Note a back end with what decided for it. */
+/** \brief Appends a chosen backend with the figures of the choice. */
 void exchange_trail_append_send(struct exchange *exchange, const struct backend *backend,
                                 uint64_t now);
-/** \return the first of the back ends that are remembered, or NULL */
+/** \return the first backend in `tried`, or NULL */
 const struct backend *exchange_first_tried(const struct exchange *exchange);
-/** \return the last one, or NULL */
+/** \return the last backend in `tried`, or NULL */
 const struct backend *exchange_last_tried(const struct exchange *exchange);
-/** \brief Let go of the present back end. */
+/** \brief Ends the current attempt, if there is one, and reports its result to the pool. */
 void exchange_end_attempt(struct exchange *exchange, enum backend_result result);
+/** \brief Logs the end of the request. \param backend that ran it, or NULL */
 void exchange_log_end(const struct exchange *exchange, unsigned status, enum end_reason reason,
                       const struct backend *backend);
-/** \brief The request is over; the exchange is freed once its timer is closed. */
+/** \brief Ends the request; the exchange is freed once its timer is closed. */
 void exchange_finish(struct exchange *exchange);
 /**
- * \brief Answer the client in this system's own name.
- * \param wait_ms Retry-After, 0: none
- * \param text body that says why, "": none
+ * \brief Sends a response that the edge itself generates.
+ * \param wait_ms Retry-After; 0: none
+ * \param text body that gives the reason; "": none
  */
 void exchange_send_local_response(struct edge *edge, struct edge_client *client,
                                   const char *request_id, unsigned status, uint32_t wait_ms,
                                   const char *text);
-/** \return time after which a client should come back when no back end serves at all, ms */
+/** \return Retry-After while no backend serves at all, ms */
 uint32_t exchange_no_backend_retry_ms(struct edge *edge);
-/** \brief Note whether a request found a place, for the time to come back of others. */
+/** \brief Records whether a request got a slot, for the Retry-After of others. */
 void exchange_record_slot_result(struct exchange *exchange, bool found);
-/** \brief End with an answer of this system's own, at once; a begun stream is broken off. */
+/** \brief Ends the request with a local response; a begun stream is aborted. */
 void exchange_fail(struct exchange *exchange, unsigned status, enum end_reason reason);
-/** \brief Give up with 503 when nothing has run, and 502 when that is not known. */
+/** \brief Fails with 503 if no backend has run the request, and with 502 if one may have. */
 void exchange_fail_by_run_state(struct exchange *exchange, enum end_reason reason);
 
-/* --- exchange_send.c ---- */
+/* --- exchange_send.c --- */
 
+/** \return whether its route allows that it runs more than once */
 bool exchange_is_retryable(const struct exchange *exchange);
-/** \brief Send to a back end, wait in line for one, or give up. */
+/** \brief Sends the request to a backend, queues it, or fails it. */
 void exchange_dispatch(struct exchange *exchange);
-/** \return time at which a back end may be asked again, where all that could take the request want
- * nothing for a while; 0: it is not that */
+/** \return time at which the first backoff ends, if all backends that could run the request asked
+ * for one; 0: not so */
 uint64_t exchange_backoff_end(struct exchange *exchange, uint64_t now);
 /**
- * \param heard_after engines that were not heard of since this time do not count, 0: they do
- * \return whether another back end has room, and the shared budget a repeat if the present one was
+ * \param heard_after time since which an engine must have reported or responded; 0: any
+ * \return whether another backend has room, and the shared budget a retry if the current one was
  * sent the request
  */
 bool exchange_has_alternative(struct exchange *exchange, uint64_t heard_after);
-/** \brief Go to another back end, if attempts, time and the shared budget allow it. */
+/** \brief Retries on another backend, if attempts, time and the shared budget allow it; fails
+ * otherwise. */
 void exchange_retry(struct exchange *exchange, enum end_reason reason);
 
-/* --- exchange_answer.c ---- */
+/* --- exchange_response.c --- */
 
-/** \brief The attempt failed after the request was sent: it may have run. */
+/** \brief The attempt failed after the request was sent, so the backend may have run it. */
 void exchange_on_attempt_failed(struct exchange *exchange, enum backend_result result,
                                 enum end_reason reason);
-/** \brief The request reached a connection that is up. */
+/** \brief Counts a send on an established connection, once for each attempt. */
 void exchange_count_send(struct exchange *exchange);
 
 #endif
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -1,5 +1,5 @@
-/* A request that may crash back ends runs apart from others of its kind: when it may go, where, and
- * by which lease (core/crash_lease). */
+/* Isolation of requests that may crash backends: when such a request may be sent, to which
+ * backends, and under which lease (core/crash_lease). */
 #include "base/log.h"
 #include "base/metrics.h"
 #include "cluster/crash_sync.h"
@@ -7,11 +7,12 @@
 #include "edge/exchange_internal.h"
 #include <inttypes.h>
 
-/** Between two looks whether the back end has ended at which the request was. */
+/** Interval at which a pending check of the request's last backend is polled. */
 #define CRASH_CHECK_POLL_US 10000
-/** A request that has not begun bears so much beyond the time for which it may wait for a place. */
+/** A hold up to this long may exceed the time for which a request may wait for a slot. */
 #define MAX_EXTRA_WAIT_US 40000
-/** Between two looks whether what others did explains the ends at which the request was. */
+/** Interval at which a held request is rechecked, as other requests may since explain the crashes
+ * it was part of. */
 #define HOLD_POLL_US 100000
 
 static struct crash_table *crash_table_of(const struct exchange *exchange)
@@ -40,8 +41,8 @@
               ((int64_t)exchange->deadline_at - (int64_t)cluster_now()) / (int64_t)US_PER_MS);
 }
 
-/* It was there at an end before, and perhaps at one more just now: sent on at once, it would meet
- * all the others that were there. */
+/* The request was running at an earlier crash, and perhaps at one just now. Retried at once, it
+ * would meet all the other requests that were running there. */
 static bool awaits_crash_check(struct exchange *exchange, const struct crash_entry *entry)
 {
     return exchange->suspected && entry && entry->start_count &&
@@ -123,9 +124,9 @@
     return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_SETTLES_US;
 }
 
-/* A begun stream is held for as long as it has; any other is refused at once where its turn to run
- * apart does not come in the time that it may wait. A short hold does not count: its back end may
- * have ended after that time. */
+/* A begun stream may be held until its deadline; any other request is refused at once if it cannot
+ * run isolated within the time that it may wait. A hold up to MAX_EXTRA_WAIT_US extends that time,
+ * as the backend may have ended after it. */
 void exchange_hold_until(struct exchange *exchange, uint64_t until)
 {
     uint64_t now = cluster_now();
@@ -137,7 +138,6 @@
         exchange_fail_by_run_state(exchange, END_HELD);
 }
 
-/* \return whether it is not to be sent now, but waits for a lease on the back end */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now)
 {
--- a/src/edge/exchange_queue.c
+++ b/src/edge/exchange_queue.c
@@ -1,7 +1,8 @@
-/* The line of requests that wait for a link, the most urgent first; some wait beside it, for time
- * alone. */
+/* Queue of the requests that wait for a slot, most urgent first. Some requests wait for a time
+ * only, outside the queue. */
 #include "edge/exchange_internal.h"
 
+/** Greatest urgency value that backends know: the least urgent. */
 #define MAX_URGENCY 9
 
 int exchange_urgency(const struct exchange *exchange)
--- a/src/edge/exchange_response.c
+++ b/src/edge/exchange_response.c
@@ -1,4 +1,4 @@
-/* Answers of back ends: what is whole and belongs to the request goes to the client. */
+/* Handles upstream events, and forwards complete responses and events to the client. */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Statuses from here on are failures of the back end, not of the request. */
+/** Statuses from here on are failures of the backend, not of the request. */
 #define FIRST_SERVER_ERROR 500
 
 bool exchange_is_mismatched_response(const struct exchange *exchange,
@@ -34,7 +34,7 @@
     metric_gauge_set(METRIC_FIRST_ANSWER_MS, (cluster_now() - edge->started) / US_PER_MS);
 }
 
-/* A whole answer of the back end goes to the client as it is. */
+/* Forwards a complete response of the backend to the client. */
 static void forward_response(struct exchange *exchange, struct http_message *message,
                              enum end_reason reason)
 {
@@ -58,7 +58,7 @@
     exchange->streaming = true;
 }
 
-/* Take new bytes of a stream's body, and hand on the events that are whole. */
+/* Parses new bytes of a stream's body, and forwards the complete events. */
 static void forward_events(struct exchange *exchange, struct http_message *message)
 {
     struct buffer whole = {0};
@@ -93,7 +93,7 @@
     note_first_byte(exchange);
     if (exchange->route->kind != ROUTE_STREAM ||
         answer_meaning(&response->head.facts) != ANSWER_DELIVERED)
-        return; /* kept until it is complete */
+        return; /* buffered until it is complete */
     if (!exchange->version)
         exchange->version = response->head.version;
     forward_events(exchange, &response->message);
@@ -110,7 +110,7 @@
     struct edge_client *client = exchange->client;
     forward_events(exchange, message);
     if (exchange->events.partial.size) {
-        /* Complete by its framing, but torn: no whole answer. */
+        /* The body is complete by its framing, but ends within an event. */
         exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_TRUNCATED_EVENT);
         return;
     }
@@ -157,7 +157,7 @@
     exchange_retry(exchange, reason);
 }
 
-/* Another back end may do better, if the request may be repeated and there is one with room. */
+/* A retry may succeed, if the request allows it and another backend has room. */
 static bool should_retry_after_error(struct exchange *exchange, unsigned status)
 {
     struct attempt_facts facts = exchange_facts(exchange, cluster_now());
@@ -166,7 +166,7 @@
            exchange_has_alternative(exchange, 0);
 }
 
-/* The back end did not run it. */
+/* The backend did not run the request. */
 static void on_not_run(struct exchange *exchange, const struct answer_facts *facts,
                        enum backend_result result, enum end_reason reason)
 {
@@ -191,7 +191,7 @@
 
 static void on_failed(struct exchange *exchange, struct upstream_response *response)
 {
-    if (exchange->streaming) { /* a resumed stream cannot end in another answer */
+    if (exchange->streaming) { /* a resumed stream cannot end in another response */
         exchange_on_attempt_failed(exchange, BACKEND_ERROR, END_RESUME_REFUSED);
         return;
     }
@@ -235,7 +235,7 @@
     exchange->sends++;
 }
 
-/* News of the back end came while the connection did. */
+/* An update on the backend arrived while the connection was being established. */
 static void log_withheld(const struct exchange *exchange)
 {
     const struct backend *backend = exchange->backend;
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -1,4 +1,4 @@
-/* Where a request goes: the choice of a back end, the line of those that wait, repeats. */
+/* Dispatch of requests: choice of a backend, offers to queued requests, retries. */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
@@ -10,24 +10,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** After every back end that could go on with a stream was tried, they are tried again after this:
- *  about two reports of load, which tell of places that came free. */
+/** Delay before backends are tried again after all that could resume a stream were tried: about two
+ * load reports, which show slots that became free. */
 #define RESUME_RETRY_DELAY_US 100000
-/** Between two looks for a place by a caller who came back, while overload lasts: several new
- * callers come to a gateway in that time. */
+/** Interval at which a client's retry polls for a slot while an overload lasts: several new
+ * requests reach a gateway in that time. */
 #define RETRY_POLL_US 20000
-/** An unrepeatable request uses no connection that was idle for longer. */
+/** A request that must not be retried uses no connection that was idle for longer. */
 #define NON_RETRYABLE_MAX_IDLE_US 1500000
 #define RETRYABLE_MAX_IDLE_US 3600000000ULL
-/** With less time left a request is not sent any more. */
+/** A request with less time left until its deadline is not sent any more. */
 #define MIN_TIME_LEFT_US 2000
-/** So long before a version is required, engines that do not have it at hand get no new work: their
- *  links may be slow, and what waits there may begin late. */
+/** From this long before a version is required, engines that have not staged it get no new
+ * requests: their links may be slow, and requests queued there may begin late. */
 #define VERSION_LEAD_US 400000
+/** The same for engines on slow links, which must have loaded it by then. */
 #define VERSION_SLOW_LEAD_US 1700000
 
-/* --- sending -------------------------------------------------------------------------------------
- */
+/* --- Sending --- */
 
 bool exchange_is_retryable(const struct exchange *exchange)
 {
@@ -41,7 +41,7 @@
     return model ? version_bounds_least(&exchange->edge->versions, model, at) : 0;
 }
 
-/* Empty engines get the newest version that was named, the first one when none was. */
+/* \return the version that engines without weights will load: the newest one named, or the first */
 static uint64_t newest_version(const struct exchange *exchange)
 {
     const char *model = exchange->service->engine.model;
@@ -49,7 +49,8 @@
     return newest ? newest : FIRST_VERSION;
 }
 
-/* A begun stream goes wherever it can go on. */
+/* \return expected duration of a stream; 0: unknown, or of no account as a resumed stream goes to
+ * any backend */
 static uint64_t expected_duration_us(const struct exchange *exchange)
 {
     if (exchange->route->kind != ROUTE_STREAM || exchange->resuming)
@@ -91,8 +92,8 @@
         !backend_may_begin(exchange->edge->pool, backend, &criteria, now))
         return false;
     const struct http_message *request = edge_client_request(exchange->client);
-    /* Only a begun stream names a version. Any other may run on a newer one, and an engine that is
-     * ahead refuses what asks for the least. */
+    /* Only a resumed stream names a version. Any other request may run on a newer one, and an
+     * engine that is ahead would refuse a request for the least version. */
     struct forward_head forward = {
         .deadline_ms = (uint32_t)((exchange->deadline_at - now) / US_PER_MS),
         .instance = backend->listing.id,
@@ -107,7 +108,8 @@
     return true;
 }
 
-/* The list dropped it: whether it still should have got this request shows here alone. */
+/* The backend is no longer listed; this line is the only record for judging whether the request
+ * should still have gone there. */
 static void log_unlisted(const struct exchange *exchange, const struct backend *backend,
                          uint64_t now)
 {
@@ -118,14 +120,15 @@
               (backend->unlisted_until - now) / US_PER_MS, backend->doubtful);
 }
 
-/* While back ends stay full for longer than a caller stays away, one who came back is in time no
- * more and would take the place of one who can be: he looks for what is left now and then. */
+/* While backends stay full for longer than a refused client waits, its retry would be late anyway
+ * and take a slot from a new request that can be in time. So retries only poll for slots that are
+ * left. */
 static void wait_outside_queue(struct exchange *exchange, uint64_t now)
 {
     exchange_wait_until(exchange, now + RETRY_POLL_US);
 }
 
-/* All that could go on with a begun stream were tried: they may be again, after a while. */
+/* All backends that could resume the stream were tried; allows them again after a delay. */
 static void wait_for_backends(struct exchange *exchange, uint64_t now)
 {
     exchange->excluded_from = exchange->tried_count;
@@ -134,7 +137,7 @@
     exchange_enqueue(exchange);
 }
 
-/* Not even an attempt to connect could be made, so nothing has run: others may have a way. */
+/* No connect could be started, so nothing has run; other backends may be reachable. */
 static void on_no_connection(struct exchange *exchange, uint64_t now)
 {
     exchange_end_attempt(exchange, BACKEND_UNREACHABLE);
@@ -148,7 +151,7 @@
 
 static void send_to(struct exchange *exchange, struct backend *backend, uint64_t now)
 {
-    if (now + MIN_TIME_LEFT_US > exchange->deadline_at) { /* no back end could begin in time */
+    if (now + MIN_TIME_LEFT_US > exchange->deadline_at) { /* no backend could begin in time */
         exchange_fail(exchange, exchange->may_have_run ? 504 : 503, END_DEADLINE);
         return;
     }
@@ -187,7 +190,8 @@
     repeat_budget_spend(&exchange->service_state->budget, now, exchange->edge->max_gateways);
 }
 
-/* Its attempts are used up, unless its last back end has ended. \return whether it may go on */
+/* If the attempts are used up unless the last backend has ended, waits for that check, and fails
+ * the request if it has not ended. \return whether the request may be retried */
 static bool crash_check_allows_retry(struct exchange *exchange, uint64_t now)
 {
     if (!exchange->awaiting_crash_check)
@@ -204,7 +208,7 @@
     return false;
 }
 
-/* A client reads this stream: it waits for whoever can go on with it, as long as somebody can. */
+/* A client is reading this stream, so it waits for a backend to resume it as long as any can. */
 static void dispatch_stream(struct exchange *exchange)
 {
     struct edge *edge = exchange->edge;
@@ -250,7 +254,7 @@
     return backoff_end ? END_BACKED_OFF : END_NO_BACKEND;
 }
 
-/* \return whether it ends here, as no back end can be had for it in time */
+/* Fails the request if it cannot get a backend in time. \return whether it failed */
 static bool fail_if_wait_is_over(struct exchange *exchange, enum backend_absence absence,
                                  uint64_t now)
 {
@@ -301,7 +305,7 @@
         dispatch_new(exchange);
 }
 
-/* Places that are gone are news for those that wait, too. \return whether the request left the line
+/* Offers free slots to a queued request; fails it if none can come. \return whether it was dequeued
  */
 static bool offer_slot(struct exchange *exchange)
 {
@@ -333,7 +337,7 @@
     for (struct exchange *exchange = edge->queue, *next; exchange; exchange = next) {
         next = exchange->next_queued;
         if (offer_slot(exchange))
-            next = edge->queue; /* a send that fails may have changed the line */
+            next = edge->queue; /* a send that fails may have changed the queue */
     }
 }
 
@@ -375,8 +379,7 @@
     return false;
 }
 
-/* Go to another back end, if the rules and the budget allow it. A begun stream waits for the budget
- * too: it is earned anew with each request. */
+/* A begun stream waits until the budget allows a retry, as each new request adds to the budget. */
 void exchange_retry(struct exchange *exchange, enum end_reason reason)
 {
     uint64_t now = cluster_now();
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -1,4 +1,4 @@
-/* What requests that crash back ends mean for one request: its identity, its place, its end. */
+/* Crash suspicion of one request: its identity, the verdict on it, and its evidence. */
 #include "base/log.h"
 #include "base/metrics.h"
 #include "cluster/crash_sync.h"
@@ -8,7 +8,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-/** Up to eight ends with their ages. */
+/** Bytes of a list of up to eight crashes with their ages. */
 #define CRASHES_TEXT_SIZE 200
 
 static struct crash_table *crash_table_of(const struct exchange *exchange)
@@ -34,7 +34,7 @@
     return &exchange->identity;
 }
 
-/* While nobody is under suspicion no identity is worked out. */
+/* Computes no identity while no request is under suspicion. */
 static enum crash_verdict judge(struct exchange *exchange)
 {
     const struct crash_table *table = crash_table_of(exchange);
@@ -43,7 +43,7 @@
     return crash_table_judge(table, exchange_identity(exchange), cluster_now());
 }
 
-/* On which ends the verdict rests: their keys and ages. */
+/* Logs the keys and ages of the crashes on which the verdict rests. */
 static void log_blocked(const struct exchange *exchange, const struct crash_entry *entry,
                         uint64_t now)
 {
@@ -106,7 +106,8 @@
     crash_watch_lost_run(exchange->edge, backend, identity, exchange->head.id, exchange->sent_at);
 }
 
-/* \return for how long its last back end worked on it, if that went on with a stream */
+/* \return time for which its last backend ran it, if that resumed a stream; CRASH_RAN_WHOLE
+ * otherwise */
 static uint64_t ran_us(const struct exchange *exchange)
 {
     bool rest = exchange->resuming || exchange->head.last_event_id[0];
--- a/src/edge/upstream.c
+++ b/src/edge/upstream.c
@@ -1,4 +1,4 @@
-/* Connections to back ends: one request at a time on each, kept for the next one. */
+/* Connections to backends, with one request at a time on each, kept alive for reuse. */
 #include "base/memory.h"
 #include "base/metrics.h"
 #include "edge/backend_feedback.h"
@@ -6,12 +6,12 @@
 
 #include <stdlib.h>
 
-/** An idle connection is kept for so long when the back end does not say. */
+/** Time for which an idle connection is kept if the backend names none. */
 #define KEEP_ALIVE_DEFAULT_US 4000000
-/** A connection is no longer used so long before the back end may close it. */
+/** A connection is not reused from this long before the backend may close it. */
 #define KEEP_ALIVE_MARGIN_US 400000
 #define CONNECT_TIMEOUT_US 700000
-/** Answers with a lower status are followed by another one to the same request. */
+/** Responses with a lower status are interim; another response to the same request follows. */
 #define FIRST_FINAL_STATUS 200
 
 enum upstream_state { UPSTREAM_CONNECTING, UPSTREAM_BUSY, UPSTREAM_IDLE };
@@ -27,12 +27,12 @@
     uint64_t started;
     uint64_t idle_since;
     uint64_t keep_until;
-    struct upstream *next;         /* of the back end's connections */
+    struct upstream *next;         /* of the backend's connections */
     struct upstream *next_in_edge; /* of all connections of the edge */
     struct upstream **edge_link;
 };
 
-/* All connections to one back end, newest use first. */
+/* All connections to one backend, most recently used first. */
 struct upstream_list {
     struct upstream *first;
 };
@@ -83,8 +83,8 @@
         upstream->next_in_edge->edge_link = upstream->edge_link;
 }
 
-/* A request that is given up must not arrive any more: after a close the kernel still delivers what
- * was written. */
+/* Resets a connection with a request in progress, as a cancelled request must not arrive any more:
+ * after a plain close the kernel still delivers what was written. */
 static void close_stream(struct upstream *upstream)
 {
     if (upstream->state == UPSTREAM_BUSY)
@@ -104,7 +104,7 @@
     free(upstream);
 }
 
-/* The exchange is told last, with the connection already out of its way. */
+/* Tells the exchange last, when the connection is already idle or destroyed. */
 static void finish(struct upstream *upstream, enum upstream_event event, bool reusable)
 {
     struct exchange *exchange = upstream->exchange;
@@ -113,7 +113,7 @@
         upstream->state = UPSTREAM_IDLE;
     upstream->exchange = NULL;
     upstream->response.message = (struct http_message){0};
-    /* The parser's position is part of the message that is handed over. */
+    /* Cleared as the parser's state is part of the message that is handed over. */
     if (reusable) {
         upstream->idle_since = cluster_now();
         remove_from_backend(upstream);
@@ -131,8 +131,8 @@
     http_message_begin(&upstream->response.message, HTTP_MESSAGE_RESPONSE);
 }
 
-/* What a back end says of itself holds from the head on, whichever request the answer is for: a
- * stream may last for seconds, and a late answer is passed over. */
+/* What a backend reports about itself applies as soon as the headers are complete, as a stream may
+ * last for seconds, and whichever request the response is for, as late responses are skipped. */
 static void read_head(struct upstream *upstream)
 {
     struct upstream_response *response = &upstream->response;
@@ -157,7 +157,7 @@
     return true;
 }
 
-/* A message is complete: pass over what is not the answer. \return whether it was the answer */
+/* \return whether the message is the final response to the current request */
 static bool is_expected_response(struct upstream *upstream)
 {
     const struct answer_head *head = &upstream->response.head;
@@ -168,7 +168,7 @@
 static void on_received(void *context, const char *bytes, size_t size)
 {
     struct upstream *upstream = context;
-    if (upstream->state != UPSTREAM_BUSY) { /* nobody asked for these bytes */
+    if (upstream->state != UPSTREAM_BUSY) { /* no request is in progress */
         destroy(upstream);
         return;
     }
@@ -279,7 +279,7 @@
     upstream->exchange = exchange;
     upstream->started = now;
     if (is_idle && !write_request(upstream)) {
-        /* Nothing was sent: the connection stays idle and belongs to nobody. */
+        /* Nothing was sent; the connection stays idle for other requests. */
         upstream->exchange = NULL;
         return NULL;
     }
@@ -318,7 +318,7 @@
     switch (upstream->state) {
     case UPSTREAM_IDLE:
         return !listed || now >= upstream->keep_until;
-    case UPSTREAM_CONNECTING: /* one that was opened in this sweep began after `now` */
+    case UPSTREAM_CONNECTING: /* a connect begun in this pass has started after `now` */
         return !listed || now > upstream->started + CONNECT_TIMEOUT_US;
     case UPSTREAM_BUSY:
         break;
@@ -334,8 +334,8 @@
     return upstream;
 }
 
-/* All that are open, also to back ends that the list dropped: machines that lost power close
- * nothing, and a request would wait until its deadline for a connection to one to come up. */
+/* Covers connections to unlisted backends too: a machine that lost power closes nothing, and a
+ * request would wait until its deadline for a connection to it. */
 void upstream_close_expired(struct edge *edge, uint64_t now)
 {
     struct upstream *upstream;
