--- a/src/edge/backend_feedback.c
+++ b/src/edge/backend_feedback.c
@@ -59,12 +59,12 @@
 bool backend_feedback_from_load(struct edge *edge, const char *address,
                                 const struct backend_load *load)
 {
-    const struct backend *before = backend_pool_find_address(edge->pool, address);
-    bool known = before && (before->leaving || before->load.leaving);
+    const struct backend *previous = backend_pool_find_address(edge->pool, address);
+    bool was_leaving = previous && (previous->leaving || previous->load.leaving);
     struct backend *backend = backend_pool_report(edge->pool, address, load, cluster_now());
     if (backend && load->leaving)
         backend_note_leaving(backend, cluster_now());
-    if (backend && load->leaving && !known)
+    if (backend && load->leaving && !was_leaving)
         log_leaving(backend, "report", "-");
     return backend != NULL;
 }
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -288,9 +288,9 @@
 
 static bool has_restarted(const struct crash_check *check)
 {
-    const struct backend *there =
+    const struct backend *current =
         backend_pool_find_address(check->edge->pool, check->backend->listing.address);
-    return there && there != check->backend;
+    return current && current != check->backend;
 }
 
 bool crash_watch_is_checking(const struct edge *edge, const struct backend *backend)
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -75,7 +75,7 @@
 
 /* Timers of the event loop do not count suspended time, so each request rechecks its deadline.
  */
-static void on_woke(void *context, const struct wake *wake)
+static void on_resumed_after_pause(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
     if (wake->pause_us > WAKE_LONG_US)
@@ -137,13 +137,13 @@
 static void stop_if_drained(struct edge *edge, uint64_t now)
 {
     uint64_t grace = edge->settings->stop_grace_s * 1000000;
-    uint64_t since = now - edge->stopping_since;
-    if (since < STOP_ACCEPT_PERIOD_US)
+    uint64_t elapsed = now - edge->stopping_since;
+    if (elapsed < STOP_ACCEPT_PERIOD_US)
         return;
     stop_accepting(edge);
-    if (edge->active == 0 || since + STOP_MARGIN_US > grace) {
+    if (edge->active == 0 || elapsed + STOP_MARGIN_US > grace) {
         log_event(LOG_LEVEL_INFO, "process", "drained", "active=%u took_ms=%" PRIu64, edge->active,
-                  since / 1000);
+                  elapsed / 1000);
         uv_stop(edge->loop);
     }
 }
@@ -243,7 +243,7 @@
                                           .load_received = on_load,
                                           .call_received = on_call,
                                           .suspects_changed = on_suspects_changed,
-                                          .woke = on_woke};
+                                          .woke = on_resumed_after_pause};
     struct backend_pool_settings pool = {.queue_per_engine = (uint32_t)settings->engine_queue,
                                          .tokens_per_engine =
                                              (uint32_t)settings->engine_unread_tokens,
@@ -254,8 +254,8 @@
                                          .created = cluster_now()};
     edge->settings = settings;
     edge->loop = uv_default_loop();
-    edge->started = cluster_now();
-    edge->random.seed = hash_name(settings->name) ^ edge->started;
+    edge->started_at = cluster_now();
+    edge->random.seed = hash_name(settings->name) ^ edge->started_at;
     edge->pool = backend_pool_create(&pool, edge->random.seed + 1);
     edge->relay = weight_relay_create(&edge->cluster);
     edge->gateways = 1;
--- a/src/edge/edge_client.c
+++ b/src/edge/edge_client.c
@@ -23,7 +23,7 @@
     struct exchange *exchange;
     bool parsing;
     bool streaming;
-    bool continued;            /* "100 Continue" was sent */
+    bool continue_sent;        /* "100 Continue" was sent */
     uint64_t idle_since;       /* time of the last response, or of the accept */
     uint64_t head_started;     /* time of the first byte of the current request; 0: none */
     uint64_t last_received_at; /* time at which bytes last arrived */
@@ -58,7 +58,7 @@
     set_limits(client);
     http_message_begin(&client->request, HTTP_MESSAGE_REQUEST);
     client->head_started = 0;
-    client->continued = false;
+    client->continue_sent = false;
     client->idle_since = cluster_now();
 }
 
@@ -72,7 +72,7 @@
     free(client);
 }
 
-static void free_when_done(struct edge_client *client)
+static void free_if_unused(struct edge_client *client)
 {
     if (!client->stream && !client->parsing && !client->exchange)
         client_free(client);
@@ -95,15 +95,15 @@
 static void send_continue(struct edge_client *client)
 {
     char expect[32];
-    if (client->continued || !client->request.head_complete || client->request.complete)
+    if (client->continue_sent || !client->request.head_complete || client->request.complete)
         return;
     if (!http_message_value(&client->request, "Expect", expect, sizeof expect))
         return;
-    client->continued = true;
+    client->continue_sent = true;
     tcp_stream_write(client->stream, "HTTP/1.1 100 Continue\r\n\r\n", 25);
 }
 
-static void parse_one(struct edge_client *client)
+static void parse_request(struct edge_client *client)
 {
     size_t used;
     enum http_parse_result result =
@@ -131,16 +131,16 @@
     }
 }
 
-static void parse(struct edge_client *client)
+static void parse_unread(struct edge_client *client)
 {
     client->parsing = true;
     while (client->stream && !client->exchange && client->unread.size) {
         if (!client->head_started)
             client->head_started = cluster_now();
-        parse_one(client);
+        parse_request(client);
     }
     client->parsing = false;
-    free_when_done(client);
+    free_if_unused(client);
 }
 
 static void on_received(void *context, const char *bytes, size_t size)
@@ -149,7 +149,7 @@
     client->last_received_at = cluster_now();
     buffer_append(&client->unread, bytes, size);
     if (!client->exchange)
-        parse(client);
+        parse_unread(client);
     else if (client->unread.size > PIPELINE_MAX_BYTES)
         tcp_stream_pause(client->stream, true);
 }
@@ -163,7 +163,7 @@
     client->exchange = NULL;
     if (exchange)
         exchange_cancel(exchange);
-    free_when_done(client);
+    free_if_unused(client);
 }
 
 static const struct tcp_stream_callbacks stream_callbacks = {.received = on_received,
@@ -185,7 +185,7 @@
     edge->clients = client;
     prepare_next_request(client);
     client->stream = tcp_stream_accept(listener, &stream_callbacks, client);
-    free_when_done(client);
+    free_if_unused(client);
 }
 
 static bool keeps_connection(const struct edge_client *client)
@@ -198,19 +198,19 @@
 {
     client->exchange = NULL;
     if (!client->stream) {
-        free_when_done(client);
+        free_if_unused(client);
         return;
     }
     if (!keep) {
         tcp_stream_finish(client->stream);
         client->stream = NULL;
-        free_when_done(client);
+        free_if_unused(client);
         return;
     }
     prepare_next_request(client);
     tcp_stream_pause(client->stream, false);
     if (!client->parsing && client->unread.size)
-        parse(client);
+        parse_unread(client);
 }
 
 void edge_client_send_response(struct edge_client *client, const struct buffer *head,
@@ -269,7 +269,7 @@
     if (client->stream)
         tcp_stream_reset(client->stream);
     client->stream = NULL;
-    free_when_done(client);
+    free_if_unused(client);
 }
 
 void edge_client_close_idle(struct edge *edge)
@@ -280,7 +280,7 @@
             continue;
         tcp_stream_finish(client->stream);
         client->stream = NULL;
-        free_when_done(client);
+        free_if_unused(client);
     }
 }
 
@@ -326,6 +326,6 @@
             tcp_stream_close(client->stream);
             client->stream = NULL;
         }
-        free_when_done(client);
+        free_if_unused(client);
     }
 }
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -74,7 +74,7 @@
     uint32_t active;        /**< requests without a final response */
     uint32_t gateways;      /**< alive now, at least 1 */
     uint32_t max_gateways;  /**< greatest number seen; divides the retry budget */
-    uint64_t started;
+    uint64_t started_at;
     bool has_responded;      /**< a complete response was sent since the start */
     uint64_t stopping_since; /**< 0: not stopping */
     bool listener_closed;    /**< no more connections are accepted */
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -14,6 +14,8 @@
 #define VERSION_MARGIN_US 1100000
 /** Updates in this time after startup do not show when their content became true. */
 #define STARTUP_STATE_US 1500000
+/** In that time, a version learned more recently than this may have been named long before. */
+#define RECENTLY_LEARNED_US 100000
 
 struct service_state *edge_service(struct edge *edge, const char *service)
 {
@@ -93,9 +95,9 @@
 
 /* \return time at which the entry got its present content; 0: unknown, as it was part of the
  * initial state or arrived while the store was failing */
-static uint64_t change_time(const struct edge *edge, const struct state_item *item)
+static uint64_t item_changed_at(const struct edge *edge, const struct state_item *item)
 {
-    bool at_start = cluster_now() < edge->started + STARTUP_STATE_US;
+    bool at_start = cluster_now() < edge->started_at + STARTUP_STATE_US;
     return at_start || !cluster_store_is_sound(&edge->cluster) ? 0 : item->learned;
 }
 
@@ -120,7 +122,7 @@
     struct backend *backend =
         backend_pool_list(edge->pool, &listing, cluster_distance(&edge->cluster, listing.zone));
     if (backend->listing.draining)
-        backend_note_leaving(backend, change_time(edge, item));
+        backend_note_leaving(backend, item_changed_at(edge, item));
     log_event(LOG_LEVEL_INFO, "backend", "listed",
               "id=%s born=%" PRIu64 " service=%s address=%s zone=%s draining=%d weights=%" PRIu64
               " revision=%" PRIu64 " sequence=%" PRIu64 " age_ms=%" PRIu64
@@ -178,13 +180,14 @@
                   status_message());
         return;
     }
-    uint64_t bound = edge->settings->version_bound_ms * 1000;
-    uint64_t named = item->learned;
-    if (now < edge->started + STARTUP_STATE_US && now - named < 100000)
-        named = now > bound ? now - bound / 2 : 0; /* it may have been published long ago */
+    uint64_t bound_us = edge->settings->version_bound_ms * 1000;
+    uint64_t named_at = item->learned;
+    if (now < edge->started_at + STARTUP_STATE_US && now - named_at < RECENTLY_LEARNED_US)
+        named_at = now > bound_us ? now - bound_us / 2 : 0;
     log_event(LOG_LEVEL_INFO, "weights", "version-named",
-              "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version, (now - named) / 1000);
-    version_bounds_name(&edge->versions, model, version, named + bound - VERSION_MARGIN_US);
+              "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version,
+              (now - named_at) / 1000);
+    version_bounds_name(&edge->versions, model, version, named_at + bound_us - VERSION_MARGIN_US);
 }
 
 void edge_apply_item(struct edge *edge, const struct state_item *item)
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -25,6 +25,8 @@
 #define ALTERNATIVE_MAX_SILENCE_US (STREAM_SILENCE_US / 2)
 /** Interval of the search for a backend that can take over from a silent one. */
 #define SILENCE_RECHECK_US 100000
+/** Interval at which a paused stream checks whether its client has taken enough. */
+#define PAUSED_POLL_MS 50
 
 /* --- Timers --- */
 
@@ -100,8 +102,8 @@
         upstream_pause(exchange->upstream, false);
 }
 
-static void log_silence(const struct exchange *exchange, uint64_t now, uint64_t late, bool others,
-                        enum silence_verdict verdict)
+static void log_silence(const struct exchange *exchange, uint64_t now, uint64_t late,
+                        bool has_alternative, enum silence_verdict verdict)
 {
     log_event(LOG_LEVEL_WARN, "request", "silent",
               "request=%s backend=%s silence_ms=%" PRIu64 " timer_late_ms=%" PRIu64
@@ -109,7 +111,8 @@
               exchange->head.id, exchange->backend->listing.id,
               (now - silence_started_at(exchange)) / US_PER_MS, late / US_PER_MS,
               upstream_is_sent(exchange->upstream), exchange->sends, exchange->refusals,
-              exchange->events.events, others, verdict == SILENCE_LEAVES ? "leave" : "stay");
+              exchange->events.events, has_alternative,
+              verdict == SILENCE_LEAVES ? "leave" : "stay");
 }
 
 static void leave_silent_backend(struct exchange *exchange)
@@ -130,10 +133,10 @@
     uint64_t late = now > exchange->timer_due ? now - exchange->timer_due : 0;
     struct attempt_facts facts = exchange_facts(exchange, now);
     uint64_t heard_after = exchange->streaming ? now - ALTERNATIVE_MAX_SILENCE_US : 0;
-    bool others = exchange_has_alternative(exchange, heard_after);
-    enum silence_verdict verdict = silence_judge(&facts, late, others);
+    bool has_alternative = exchange_has_alternative(exchange, heard_after);
+    enum silence_verdict verdict = silence_judge(&facts, late, has_alternative);
     if (verdict == SILENCE_LEAVES || !exchange->silence_tolerated_until)
-        log_silence(exchange, now, late, others, verdict);
+        log_silence(exchange, now, late, has_alternative, verdict);
     if (verdict == SILENCE_LEAVES) {
         exchange->heard_after = heard_after;
         leave_silent_backend(exchange);
@@ -146,11 +149,11 @@
 
 static void on_deadline(struct exchange *exchange)
 {
-    bool untouched =
+    bool not_run =
         !exchange->may_have_run && (!exchange->upstream || !upstream_is_sent(exchange->upstream));
     if (exchange->backend && !exchange->first_byte_received_at)
         exchange_end_attempt(exchange, BACKEND_SILENT);
-    exchange_fail(exchange, untouched ? 503 : 504, END_DEADLINE);
+    exchange_fail(exchange, not_run ? 503 : 504, END_DEADLINE);
 }
 
 /* The backend seemed silent during the pause because this process did not read. */
@@ -174,8 +177,8 @@
         on_deadline(exchange);
         return;
     }
-    bool looks = exchange->recheck_at && now >= exchange->recheck_at;
-    if (exchange->state == EXCHANGE_WAITING && (looks || now >= exchange->wait_until)) {
+    bool is_recheck_due = exchange->recheck_at && now >= exchange->recheck_at;
+    if (exchange->state == EXCHANGE_WAITING && (is_recheck_due || now >= exchange->wait_until)) {
         exchange_dispatch(exchange);
         return;
     }
@@ -192,8 +195,8 @@
     uint64_t now = cluster_now();
     uint64_t time = next_timer_at(exchange);
     uint64_t wait = time > now ? (time - now) / US_PER_MS + 1 : 1;
-    if (exchange->paused && wait > 50)
-        wait = 50;
+    if (exchange->paused && wait > PAUSED_POLL_MS)
+        wait = PAUSED_POLL_MS;
     exchange->timer_due = now + wait * US_PER_MS;
     if (!uv_is_closing((uv_handle_t *)&exchange->timer))
         uv_timer_start(&exchange->timer, on_timer, wait, 0);
@@ -220,17 +223,17 @@
 
 static void set_times(struct exchange *exchange)
 {
-    uint64_t hold_ms = exchange->route->timeout_ms;
-    if (!hold_ms)
-        hold_ms = DEFAULT_REQUEST_TIMEOUT_MS;
-    if (exchange->head.has_deadline && exchange->head.deadline_ms < hold_ms)
-        hold_ms = exchange->head.deadline_ms;
+    uint64_t timeout_ms = exchange->route->timeout_ms;
+    if (!timeout_ms)
+        timeout_ms = DEFAULT_REQUEST_TIMEOUT_MS;
+    if (exchange->head.has_deadline && exchange->head.deadline_ms < timeout_ms)
+        timeout_ms = exchange->head.deadline_ms;
     uint64_t wait =
         exchange->edge->settings->wait_percent * exchange->route->target_ms * US_PER_MS / 100;
-    exchange->arrived = cluster_now();
-    exchange->deadline_at = exchange->arrived + hold_ms * US_PER_MS;
+    exchange->arrived_at = cluster_now();
+    exchange->deadline_at = exchange->arrived_at + timeout_ms * US_PER_MS;
     exchange->wait_until =
-        exchange->arrived + (wait > MIN_QUEUE_WAIT_US ? wait : MIN_QUEUE_WAIT_US);
+        exchange->arrived_at + (wait > MIN_QUEUE_WAIT_US ? wait : MIN_QUEUE_WAIT_US);
 }
 
 static struct exchange *exchange_create(struct edge *edge, struct edge_client *client,
@@ -250,7 +253,7 @@
     set_times(exchange);
     struct caller_times *times = edge_route_times(edge, route->name);
     exchange->is_client_retry =
-        times && caller_returns(times, head->deadline_ms, exchange->arrived);
+        times && caller_returns(times, head->deadline_ms, exchange->arrived_at);
     uv_timer_init(edge->loop, &exchange->timer);
     exchange->timer.data = exchange;
     edge->active++;
@@ -285,7 +288,7 @@
         return NULL;
     }
     struct exchange *exchange = exchange_create(edge, client, &head, route, tenant);
-    repeat_budget_earn(&exchange->service_state->budget, exchange->arrived);
+    repeat_budget_earn(&exchange->service_state->budget, exchange->arrived_at);
     if (exchange_is_blocked(exchange)) {
         exchange_fail_by_run_state(exchange, END_BLOCKED);
         return NULL;
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -49,7 +49,7 @@
     exchange_trail_append(exchange,
                           "%s@%" PRIu64 "ms:occupancy=%u,load_age=%" PRIu64
                           "ms,distance=%u,weights=%" PRIu64,
-                          backend->listing.id, (now - exchange->arrived) / US_PER_MS,
+                          backend->listing.id, (now - exchange->arrived_at) / US_PER_MS,
                           backend_occupancy(edge->pool, backend, now), age_ms, backend->distance,
                           backend->load.version);
 }
@@ -180,9 +180,9 @@
 
 /* Aborted streams have their own event: the log limits the lines of each event, and many refusals
  * must not displace the line that shows why a client lost its stream. */
-static const char *end_event(const struct exchange *exchange, bool good)
+static const char *end_event(const struct exchange *exchange, bool succeeded)
 {
-    if (good)
+    if (succeeded)
         return "answered";
     return exchange->streaming ? "cut" : "failed";
 }
@@ -191,15 +191,15 @@
                       const struct backend *backend)
 {
     uint64_t now = cluster_now();
-    bool good = status >= 200 && status < 300 && reason == END_DONE;
+    bool succeeded = status >= 200 && status < 300 && reason == END_DONE;
     log_event(
-        good ? LOG_LEVEL_INFO : LOG_LEVEL_WARN, "request", end_event(exchange, good),
+        succeeded ? LOG_LEVEL_INFO : LOG_LEVEL_WARN, "request", end_event(exchange, succeeded),
         "request=%s route=%s service=%s status=%u reason=%s backend=%s sends=%u events=%" PRIu64
         " weights=%" PRIu64 " took_ms=%" PRIu64 " left_ms=%" PRId64 " config=%" PRIu64
         " waiting=%d trail=\"%s\"",
         exchange->head.id, exchange->route->name, exchange->service->name, status,
         end_names[reason], backend ? backend->listing.id : "-", exchange->sends,
-        exchange->events.events, exchange->version, (now - exchange->arrived) / US_PER_MS,
+        exchange->events.events, exchange->version, (now - exchange->arrived_at) / US_PER_MS,
         ((int64_t)exchange->deadline_at - (int64_t)now) / (int64_t)US_PER_MS,
         route_table_version(exchange->table), exchange->is_queued, exchange->trail);
 }
@@ -289,7 +289,7 @@
     log_event(LOG_LEVEL_INFO, "request", "client-gone",
               "request=%s route=%s backend=%s sends=%u took_ms=%" PRIu64, exchange->head.id,
               exchange->route->name, exchange->backend ? exchange->backend->listing.id : "-",
-              exchange->sends, (cluster_now() - exchange->arrived) / US_PER_MS);
+              exchange->sends, (cluster_now() - exchange->arrived_at) / US_PER_MS);
     struct edge *edge = exchange->edge;
     exchange_finish(exchange);
     exchange_dispatch_queued(edge);
--- a/src/edge/exchange_internal.h
+++ b/src/edge/exchange_internal.h
@@ -60,7 +60,7 @@
     struct service_state *service_state;
     struct request_head head;
     enum exchange_state state;
-    uint64_t arrived;
+    uint64_t arrived_at;
     uint64_t deadline_at; /* of the final response */
     uint64_t wait_until;  /* it is refused if it has no slot by then */
     struct upstream *upstream;
--- a/src/edge/exchange_queue.c
+++ b/src/edge/exchange_queue.c
@@ -17,7 +17,7 @@
     int left_urgency = exchange_urgency(left), right_urgency = exchange_urgency(right);
     if (left_urgency != right_urgency)
         return left_urgency < right_urgency;
-    return left->arrived < right->arrived;
+    return left->arrived_at < right->arrived_at;
 }
 
 static void insert_in_queue(struct exchange *exchange)
--- a/src/edge/exchange_response.c
+++ b/src/edge/exchange_response.c
@@ -31,7 +31,7 @@
     if (edge->has_responded)
         return;
     edge->has_responded = true;
-    metric_gauge_set(METRIC_FIRST_ANSWER_MS, (cluster_now() - edge->started) / US_PER_MS);
+    metric_gauge_set(METRIC_FIRST_ANSWER_MS, (cluster_now() - edge->started_at) / US_PER_MS);
 }
 
 /* Forwards a complete response of the backend to the client. */
@@ -42,7 +42,7 @@
     struct edge_client *client = exchange->client;
     write_head(message, &head);
     count_done(exchange->edge);
-    metric_observe(METRIC_WHOLE_ANSWER, cluster_now() - exchange->arrived);
+    metric_observe(METRIC_WHOLE_ANSWER, cluster_now() - exchange->arrived_at);
     exchange_log_end(exchange, http_message_status(message), reason, exchange_last_tried(exchange));
     exchange_finish(exchange);
     edge_client_send_response(client, &head, message->body.data, message->body.size);
@@ -61,19 +61,19 @@
 /* Parses new bytes of a stream's body, and forwards the complete events. */
 static void forward_events(struct exchange *exchange, struct http_message *message)
 {
-    struct buffer whole = {0};
-    event_stream_feed(&exchange->events, message->body.data, message->body.size, &whole);
+    struct buffer events = {0};
+    event_stream_feed(&exchange->events, message->body.data, message->body.size, &events);
     buffer_reset(&message->body);
-    if (whole.size) {
+    if (events.size) {
         uint64_t now = cluster_now();
         if (exchange->streaming)
             metric_observe(METRIC_EVENT_PAUSE, now - exchange->last_event_at);
         exchange->last_event_at = now;
         if (!exchange->streaming)
             begin_stream(exchange, message);
-        edge_client_stream_data(exchange->client, whole.data, whole.size);
+        edge_client_stream_data(exchange->client, events.data, events.size);
     }
-    buffer_clear(&whole);
+    buffer_clear(&events);
 }
 
 static void note_first_byte(struct exchange *exchange)
@@ -82,7 +82,7 @@
         return;
     exchange->first_byte_received_at = cluster_now();
     if (exchange->route->kind == ROUTE_STREAM && !exchange->streaming)
-        metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_received_at - exchange->arrived);
+        metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_received_at - exchange->arrived_at);
     backend_answers(exchange->backend, exchange->head.tokens_in,
                     exchange->first_byte_received_at - exchange->sent_at,
                     exchange->first_byte_received_at);
@@ -205,7 +205,7 @@
     forward_response(exchange, &response->message, END_BACKEND_ERROR);
 }
 
-static void on_done(struct exchange *exchange, struct upstream_response *response)
+static void on_complete(struct exchange *exchange, struct upstream_response *response)
 {
     switch (answer_meaning(&response->head.facts)) {
     case ANSWER_DELIVERED:
@@ -264,7 +264,7 @@
         return;
     case UPSTREAM_DONE:
         note_first_byte(exchange);
-        on_done(exchange, response);
+        on_complete(exchange, response);
         break;
     case UPSTREAM_BROKEN:
         exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_CONNECTION_BROKEN);
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -171,7 +171,7 @@
     exchange_trail_append_send(exchange, backend, now);
     if (backend->unlisted_until)
         log_unlisted(exchange, backend, now);
-    metric_observe(METRIC_PLACE_WAIT, now - exchange->arrived);
+    metric_observe(METRIC_PLACE_WAIT, now - exchange->arrived_at);
     if (backend->load_at)
         metric_observe(METRIC_LOAD_AGE, now - backend->load_at);
     backend_begin(backend, exchange->head.tokens_in, now);
@@ -217,14 +217,15 @@
     struct backend *backend;
     if (!crash_check_allows_retry(exchange, now))
         return;
-    bool allowed = !exchange->owes_retry_charge ||
-                   repeat_budget_allows(&exchange->service_state->budget, now, edge->max_gateways);
+    bool is_within_budget =
+        !exchange->owes_retry_charge ||
+        repeat_budget_allows(&exchange->service_state->budget, now, edge->max_gateways);
     fill_criteria(exchange, now, &criteria);
     if (!backend_pool_may_serve(edge->pool, &criteria, now)) {
         exchange_fail_by_run_state(exchange, END_NO_BACKEND);
         return;
     }
-    if (!allowed || now < exchange->not_before) {
+    if (!is_within_budget || now < exchange->not_before) {
         exchange_enqueue(exchange);
         return;
     }
@@ -296,9 +297,9 @@
 
 void exchange_dispatch(struct exchange *exchange)
 {
-    uint64_t pause = exchange_must_wait_until(exchange, cluster_now());
-    if (pause)
-        exchange_hold_until(exchange, pause);
+    uint64_t wait_until = exchange_must_wait_until(exchange, cluster_now());
+    if (wait_until)
+        exchange_hold_until(exchange, wait_until);
     else if (exchange->streaming)
         dispatch_stream(exchange);
     else
@@ -346,8 +347,9 @@
     struct edge *edge = exchange->edge;
     uint64_t now = cluster_now();
     struct backend_wish criteria;
-    bool repeats = exchange->upstream && upstream_is_sent(exchange->upstream);
-    if (repeats && !repeat_budget_allows(&exchange->service_state->budget, now, edge->max_gateways))
+    bool is_retry = exchange->upstream && upstream_is_sent(exchange->upstream);
+    if (is_retry &&
+        !repeat_budget_allows(&exchange->service_state->budget, now, edge->max_gateways))
         return false;
     fill_criteria(exchange, now, &criteria);
     criteria.exact_version = exchange->streaming ? exchange->version : 0;
@@ -365,7 +367,7 @@
               "request=%s reason=%s sends=%u refusals=%u events=%" PRIu64 " weights=%" PRIu64
               " took_ms=%" PRIu64,
               exchange->head.id, end_reason_name(reason), exchange->sends, exchange->refusals,
-              exchange->events.events, exchange->version, (now - exchange->arrived) / US_PER_MS);
+              exchange->events.events, exchange->version, (now - exchange->arrived_at) / US_PER_MS);
 }
 
 static bool take_from_retry_budget(struct exchange *exchange, uint64_t now)
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -35,7 +35,7 @@
 }
 
 /* Computes no identity while no request is under suspicion. */
-static enum crash_verdict judge(struct exchange *exchange)
+static enum crash_verdict crash_verdict_of(struct exchange *exchange)
 {
     const struct crash_table *table = crash_table_of(exchange);
     if (!crash_table_count(table))
@@ -64,7 +64,7 @@
 
 bool exchange_is_blocked(struct exchange *exchange)
 {
-    if (judge(exchange) != CRASH_BLOCKED)
+    if (crash_verdict_of(exchange) != CRASH_BLOCKED)
         return false;
     const struct crash_entry *entry =
         crash_table_find(crash_table_of(exchange), &exchange->identity);
@@ -83,7 +83,7 @@
 
 uint64_t exchange_isolation_key(struct exchange *exchange)
 {
-    if (!exchange->suspected && judge(exchange) == CRASH_NO_SUSPECT)
+    if (!exchange->suspected && crash_verdict_of(exchange) == CRASH_NO_SUSPECT)
         return 0;
     const struct request_identity *identity = exchange_identity(exchange);
     return hash_bytes(identity->bytes, sizeof identity->bytes) | 1;
@@ -108,18 +108,18 @@
 
 /* \return time for which its last backend ran it, if that resumed a stream; CRASH_RAN_WHOLE
  * otherwise */
-static uint64_t ran_us(const struct exchange *exchange)
+static uint64_t run_time_us(const struct exchange *exchange)
 {
-    bool rest = exchange->resuming || exchange->head.last_event_id[0];
-    return rest ? cluster_now() - exchange->sent_at : CRASH_RAN_WHOLE;
+    bool is_resumed = exchange->resuming || exchange->head.last_event_id[0];
+    return is_resumed ? cluster_now() - exchange->sent_at : CRASH_RAN_WHOLE;
 }
 
 void exchange_clear_suspicion(struct exchange *exchange)
 {
     struct crash_table *table = crash_table_of(exchange);
     char hex[REQUEST_IDENTITY_HEX_SIZE];
-    if (!crash_table_count(table) ||
-        !crash_table_clear(table, exchange_identity(exchange), cluster_now(), ran_us(exchange)))
+    if (!crash_table_count(table) || !crash_table_clear(table, exchange_identity(exchange),
+                                                        cluster_now(), run_time_us(exchange)))
         return;
     request_identity_to_hex(exchange_identity(exchange), hex);
     log_event(LOG_LEVEL_INFO, "crash", "cleared", "request=%s identity=%s", exchange->head.id, hex);
--- a/src/edge/upstream.c
+++ b/src/edge/upstream.c
@@ -24,7 +24,7 @@
     bool head_read; /* `response.head` is decoded */
     enum upstream_state state;
     struct exchange *exchange; /* NULL while idle */
-    uint64_t started;
+    uint64_t started_at;
     uint64_t idle_since;
     uint64_t keep_until;
     struct upstream *next;         /* of the backend's connections */
@@ -93,7 +93,7 @@
         tcp_stream_close(upstream->stream);
 }
 
-static void destroy(struct upstream *upstream)
+static void destroy_upstream(struct upstream *upstream)
 {
     remove_from_backend(upstream);
     remove_from_edge(upstream);
@@ -105,7 +105,7 @@
 }
 
 /* Tells the exchange last, when the connection is already idle or destroyed. */
-static void finish(struct upstream *upstream, enum upstream_event event, bool reusable)
+static void finish_request(struct upstream *upstream, enum upstream_event event, bool reusable)
 {
     struct exchange *exchange = upstream->exchange;
     struct upstream_response response = upstream->response;
@@ -119,7 +119,7 @@
         remove_from_backend(upstream);
         prepend_to_backend(upstream);
     } else {
-        destroy(upstream);
+        destroy_upstream(upstream);
     }
     exchange_on_upstream_event(exchange, event, &response);
     http_message_clear(&response.message);
@@ -169,26 +169,26 @@
 {
     struct upstream *upstream = context;
     if (upstream->state != UPSTREAM_BUSY) { /* no request is in progress */
-        destroy(upstream);
+        destroy_upstream(upstream);
         return;
     }
     while (size) {
-        size_t used;
+        size_t consumed;
         enum http_parse_result result =
-            http_message_feed(&upstream->response.message, bytes, size, &used);
-        bytes += used;
-        size -= used;
+            http_message_feed(&upstream->response.message, bytes, size, &consumed);
+        bytes += consumed;
+        size -= consumed;
         read_head(upstream);
         if (result == HTTP_PARSE_DONE && !is_expected_response(upstream)) {
             begin_response(upstream);
             continue;
         }
         if (result == HTTP_PARSE_DONE) {
-            finish(upstream, UPSTREAM_DONE, may_reuse(upstream, size > 0));
+            finish_request(upstream, UPSTREAM_DONE, may_reuse(upstream, size > 0));
             return;
         }
         if (result != HTTP_PARSE_MORE) {
-            finish(upstream, UPSTREAM_BROKEN, false);
+            finish_request(upstream, UPSTREAM_BROKEN, false);
             return;
         }
     }
@@ -200,37 +200,37 @@
 {
     struct upstream *upstream = context;
     if (upstream->state != UPSTREAM_BUSY) {
-        destroy(upstream);
+        destroy_upstream(upstream);
         return;
     }
-    bool whole = end == TCP_END_ORDERLY &&
-                 http_message_end(&upstream->response.message) == HTTP_PARSE_DONE &&
-                 is_expected_response(upstream);
-    finish(upstream, whole ? UPSTREAM_DONE : UPSTREAM_BROKEN, false);
+    bool is_complete = end == TCP_END_ORDERLY &&
+                       http_message_end(&upstream->response.message) == HTTP_PARSE_DONE &&
+                       is_expected_response(upstream);
+    finish_request(upstream, is_complete ? UPSTREAM_DONE : UPSTREAM_BROKEN, false);
 }
 
 static bool write_request(struct upstream *upstream)
 {
     struct buffer bytes = {0};
-    bool fits = exchange_write_request(upstream->exchange, &bytes);
-    if (fits) {
+    bool may_send = exchange_write_request(upstream->exchange, &bytes);
+    if (may_send) {
         upstream->state = UPSTREAM_BUSY;
         begin_response(upstream);
         tcp_stream_write(upstream->stream, bytes.data, bytes.size);
     }
     buffer_clear(&bytes);
-    return fits;
+    return may_send;
 }
 
 static void on_connected(void *context, bool success)
 {
     struct upstream *upstream = context;
     if (!success) {
-        finish(upstream, UPSTREAM_NOT_SENT, false);
+        finish_request(upstream, UPSTREAM_NOT_SENT, false);
         return;
     }
     if (!write_request(upstream))
-        finish(upstream, UPSTREAM_WITHHELD, false);
+        finish_request(upstream, UPSTREAM_WITHHELD, false);
 }
 
 static const struct tcp_stream_callbacks stream_callbacks = {
@@ -259,7 +259,7 @@
     prepend_to_backend(upstream);
     prepend_to_edge(upstream);
     if (!upstream->stream) {
-        destroy(upstream);
+        destroy_upstream(upstream);
         return NULL;
     }
     metric_add(METRIC_UPSTREAM_CONNECTIONS, 1);
@@ -277,7 +277,7 @@
     if (!upstream)
         return NULL;
     upstream->exchange = exchange;
-    upstream->started = now;
+    upstream->started_at = now;
     if (is_idle && !write_request(upstream)) {
         /* Nothing was sent; the connection stays idle for other requests. */
         upstream->exchange = NULL;
@@ -289,7 +289,7 @@
 void upstream_cancel(struct upstream *upstream)
 {
     upstream->exchange = NULL;
-    destroy(upstream);
+    destroy_upstream(upstream);
 }
 
 bool upstream_is_sent(const struct upstream *upstream)
@@ -319,7 +319,7 @@
     case UPSTREAM_IDLE:
         return !listed || now >= upstream->keep_until;
     case UPSTREAM_CONNECTING: /* a connect begun in this pass has started after `now` */
-        return !listed || now > upstream->started + CONNECT_TIMEOUT_US;
+        return !listed || now > upstream->started_at + CONNECT_TIMEOUT_US;
     case UPSTREAM_BUSY:
         break;
     }
@@ -341,10 +341,10 @@
     struct upstream *upstream;
     while ((upstream = find_expired(edge, now))) {
         if (upstream->state == UPSTREAM_IDLE)
-            destroy(upstream);
+            destroy_upstream(upstream);
         else
-            finish(upstream, upstream->backend->listed ? UPSTREAM_NOT_SENT : UPSTREAM_WITHHELD,
-                   false);
+            finish_request(
+                upstream, upstream->backend->listed ? UPSTREAM_NOT_SENT : UPSTREAM_WITHHELD, false);
     }
 }
 
