--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -260,9 +260,9 @@
     check->runs[check->run_count++] = *run;
 }
 
-void crash_watch_lost_run(struct edge *edge, struct backend *backend,
-                          const struct request_identity *identity, const char *request_id,
-                          uint64_t sent_at)
+void crash_watch_report_lost_run(struct edge *edge, struct backend *backend,
+                                 const struct request_identity *identity, const char *request_id,
+                                 uint64_t sent_at)
 {
     struct crash_check *check = find_check(edge, backend);
     if (!check)
--- a/src/edge/crash_watch.h
+++ b/src/edge/crash_watch.h
@@ -17,9 +17,9 @@
 
 /** \brief Reports a request that was interrupted. \param sent_at time at which it was sent to the
  * backend */
-void crash_watch_lost_run(struct edge *edge, struct backend *backend,
-                          const struct request_identity *identity, const char *request_id,
-                          uint64_t sent_at);
+void crash_watch_report_lost_run(struct edge *edge, struct backend *backend,
+                                 const struct request_identity *identity, const char *request_id,
+                                 uint64_t sent_at);
 /** \return whether a check is running that will show soon if the backend has crashed */
 bool crash_watch_is_checking(const struct edge *edge, const struct backend *backend);
 /** \brief Checks the addresses of suspected backends for later starts, and ends checks that timed
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -44,24 +44,24 @@
     edge_apply_item(context, item);
 }
 
-static void on_load(void *context, const Shuntrun__EngineLoad *news)
+static void on_load(void *context, const Shuntrun__EngineLoad *report)
 {
     struct edge *edge = context;
     struct backend_load load = {
-        .running = news->running,
-        .born = news->born,
-        .waiting = news->waiting,
-        .version = news->version,
-        .loading = news->loading,
-        .staged = news->staged,
-        .link_slow = news->link_slow,
-        .pace_permille = news->pace_permille,
-        .near_gateways = news->near_gateways,
-        .far_gateways = news->far_gateways,
-        .turn_ms = news->turn_ms,
-        .leaving = news->leaving,
+        .running = report->running,
+        .born = report->born,
+        .waiting = report->waiting,
+        .version = report->version,
+        .loading = report->loading,
+        .staged = report->staged,
+        .link_slow = report->link_slow,
+        .pace_permille = report->pace_permille,
+        .near_gateways = report->near_gateways,
+        .far_gateways = report->far_gateways,
+        .turn_ms = report->turn_ms,
+        .leaving = report->leaving,
     };
-    if (backend_feedback_from_load(edge, news->address, &load) && edge->queue)
+    if (backend_feedback_from_load(edge, report->address, &load) && edge->queue)
         exchange_dispatch_queued(edge);
 }
 
@@ -151,7 +151,7 @@
 /* Closes connections that were idle or without a response for too long. After a pause of this
  * process, data that arrived meanwhile is not read yet, so connections that seem silent are kept
  * until the next tick. */
-static void sweep_connections(struct edge *edge, uint64_t now)
+static void close_expired_connections(struct edge *edge, uint64_t now)
 {
     bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + OWN_PAUSE_US;
     edge->last_tick = now;
@@ -170,7 +170,7 @@
     crash_watch_tick(edge, now);
     edge_client_fail_blocked(edge);
     backend_pool_settle(edge->pool, cluster_store_is_sound(&edge->cluster), now);
-    sweep_connections(edge, now);
+    close_expired_connections(edge, now);
     exchange_dispatch_queued(edge);
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, edge->active);
     metric_gauge_set(METRIC_BACKENDS, backend_pool_count(edge->pool));
@@ -223,7 +223,7 @@
     return 0;
 }
 
-/* A leaving backend serves for the drain bound from the time its list knows, which is some time
+/* A leaving backend serves for the drain bound from the time the list shows it, which is some time
  * before this gateway does. */
 static uint64_t drain_usable_us(const struct settings *settings)
 {
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -103,7 +103,8 @@
               exchange->events.events, exchange->sends,
               (cluster_now() - exchange->sent_at) / US_PER_MS, backend->in_flight - 1);
     exchange->suspected = true;
-    crash_watch_lost_run(exchange->edge, backend, identity, exchange->head.id, exchange->sent_at);
+    crash_watch_report_lost_run(exchange->edge, backend, identity, exchange->head.id,
+                                exchange->sent_at);
 }
 
 /* \return time for which its last backend ran it, if that resumed a stream; CRASH_RAN_WHOLE
