--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -6,7 +6,7 @@
 #include "cluster/crash_page.h"
 #include "core/attempt_rule.h"
 #include "core/hash.h"
-#include "edge/backend_states.h"
+#include "edge/backend_feedback.h"
 #include "edge/crash_watch.h"
 #include "edge/edge_internal.h"
 #include "weights/weight_relay.h"
@@ -15,56 +15,57 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time between looks at what is due by time alone. */
+/** Interval of the tick, which does what is due by time alone. */
 #define TICK_MS 100
-/** The same while this node does not know most of the members: its relay waits for that. */
-#define FIRST_TICK_MS 25
-/** Questions for addresses and readiness have no body worth reading. */
+/** The same until this node knows most of the members: its weight relay waits for that. */
+#define STARTUP_TICK_MS 25
+/** Requests for addresses and readiness need no body. */
 #define SERVICE_BODY_LIMIT 4096
-/** Three reports of a loader to other regions, which it sends each 0.4 s, and some delay. */
-#define LOAD_FRESH_US 1500000
-/** Two reports of a loader to its own region, which it sends three times a second at least, and
- * some delay: what stands still after that is its machine, or the way there. */
-#define NEAR_LOAD_FRESH_US 750000
-/** The list may drop back ends that live, which then list themselves again; one that leaves without
- * a word serves on for longer than this. */
-#define UNLISTED_MOST_US 1400000
-/** So long before the bound on leaving a back end gets nothing more: news take 0.2 s from one call
- * to the store to the next, 0.2 s more when it is slow, and requests some time on their way. */
+/** Three load reports to other regions, which a loader sends every 0.4 s, plus some delay. */
+#define LOAD_MAX_AGE_US 1500000
+/** Two load reports to the loader's own region, which it sends at least three times a second, plus
+ * some delay: after that its machine or the network to it has stalled. */
+#define NEAR_LOAD_MAX_AGE_US 750000
+/** The list may drop live backends, which then register again. A backend that leaves unannounced
+ * keeps serving for longer than this. */
+#define UNLISTED_MAX_US 1400000
+/** A draining backend gets no more requests from this long before its drain bound: an update takes
+ * 0.2 s from one poll of the store to the next, 0.2 s more when the store is slow, and requests
+ * some time in transit. */
 #define DRAIN_MARGIN_US 600000
-/** A planned stop: new requests are taken for so long, as clients keep an address for up to three
- * times its age; what is in progress then still has time to finish. */
-#define STOP_ACCEPT_US 3200000
-/** So long before the end of the grace time the process ends whatever is in progress. */
+/** New requests are accepted for this long after a planned stop began, as clients keep an address
+ * for up to three times ADDRESS_MAX_AGE_S. Requests in progress then still have time to finish. */
+#define STOP_ACCEPT_PERIOD_US 3200000
+/** The process exits this long before the end of the grace period, whatever is in progress. */
 #define STOP_MARGIN_US 500000
 
 static void on_item(void *context, const struct state_item *item)
 {
-    edge_take_item(context, item);
+    edge_apply_item(context, item);
 }
 
-static void on_load(void *context, const Shuntrun__EngineLoad *news)
+static void on_load(void *context, const Shuntrun__EngineLoad *report)
 {
     struct edge *edge = context;
     struct backend_load load = {
-        .running = news->running,
-        .born = news->born,
-        .waiting = news->waiting,
-        .version = news->version,
-        .loading = news->loading,
-        .staged = news->staged,
-        .link_slow = news->link_slow,
-        .pace_permille = news->pace_permille,
-        .near_gateways = news->near_gateways,
-        .far_gateways = news->far_gateways,
-        .turn_ms = news->turn_ms,
-        .leaving = news->leaving,
+        .running = report->running,
+        .born = report->born,
+        .waiting = report->waiting,
+        .version = report->version,
+        .loading = report->loading,
+        .staged = report->staged,
+        .link_slow = report->link_slow,
+        .pace_permille = report->pace_permille,
+        .near_gateways = report->near_gateways,
+        .far_gateways = report->far_gateways,
+        .turn_ms = report->turn_ms,
+        .leaving = report->leaving,
     };
-    if (backend_states_load(edge, news->address, &load) && edge->waiting)
-        exchange_dispatch_waiting(edge);
+    if (backend_feedback_from_load(edge, report->address, &load) && edge->queue)
+        exchange_dispatch_queued(edge);
 }
 
-/* Other nodes ask for weights. */
+/* Serves model weights to other nodes. */
 static void on_call(void *context, struct service_call *call, const struct service_request *request)
 {
     struct edge *edge = context;
@@ -72,28 +73,28 @@
         service_reply(call, 404, NULL, NULL, 0);
 }
 
-/* Timers of the event loop left a suspension out: each request looks at the time again. */
-static void on_woke(void *context, const struct wake *wake)
+/* Timers of the event loop do not count suspended time, so each request rechecks its deadline.
+ */
+static void on_resumed_after_pause(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
     if (wake->pause_us > WAKE_LONG_US)
         upstream_close_idle(edge);
-    edge_client_look_at_time(edge);
+    edge_client_recheck_deadlines(edge);
 }
 
 static void on_suspects_changed(void *context)
 {
-    edge_client_end_blocked(context);
-    exchange_dispatch_waiting(context);
+    edge_client_fail_blocked(context);
+    exchange_dispatch_queued(context);
 }
 
-/* --- readiness
- */
+/* --- Addresses and readiness --- */
 
-static void on_directory_call(void *context, struct service_call *call,
-                              const struct service_request *request)
+static void on_directory_request(void *context, struct service_call *call,
+                                 const struct service_request *request)
 {
-    edge_answer_addresses(context, call, request);
+    edge_respond_with_addresses(context, call, request);
 }
 
 static bool is_ready(const struct edge *edge)
@@ -101,8 +102,8 @@
     return edge->table && !edge->stopping_since;
 }
 
-static void on_ready_call(void *context, struct service_call *call,
-                          const struct service_request *request)
+static void on_readiness_request(void *context, struct service_call *call,
+                                 const struct service_request *request)
 {
     struct edge *edge = context;
     bool known = platform_call_of(request->method, request->target, request->target_length) ==
@@ -110,8 +111,7 @@
     service_reply(call, !known ? 404 : is_ready(edge) ? 200 : 503, NULL, NULL, 0);
 }
 
-/* --- time and stop
- * ----------------------------------------------------------------------------------- */
+/* --- Tick and shutdown --- */
 
 static void count_gateways(struct edge *edge)
 {
@@ -119,45 +119,46 @@
     uint32_t known = 1;
     for (uint32_t i = 0; i < membership_count(edge->cluster.membership); i++)
         known += membership_at(edge->cluster.membership, i)->role == MEMBER_GATEWAY;
-    if (known > edge->gateways_most)
-        edge->gateways_most = known;
+    if (known > edge->max_gateways)
+        edge->max_gateways = known;
 }
 
-/* Take no more: a request that comes now might not be finished in time. */
+/* Closes the listener: a request that arrives now might not finish in time. */
 static void stop_accepting(struct edge *edge)
 {
-    if (edge->closed)
+    if (edge->listener_closed)
         return;
-    edge->closed = true;
+    edge->listener_closed = true;
     log_event(LOG_LEVEL_INFO, "process", "closed-to-clients", "active=%u", edge->active);
     uv_close((uv_handle_t *)&edge->listener, NULL);
     edge_client_close_idle(edge);
 }
 
-static void consider_end(struct edge *edge, uint64_t now)
+static void stop_if_drained(struct edge *edge, uint64_t now)
 {
     uint64_t grace = edge->settings->stop_grace_s * 1000000;
-    uint64_t since = now - edge->stopping_since;
-    if (since < STOP_ACCEPT_US)
+    uint64_t elapsed = now - edge->stopping_since;
+    if (elapsed < STOP_ACCEPT_PERIOD_US)
         return;
     stop_accepting(edge);
-    if (edge->active == 0 || since + STOP_MARGIN_US > grace) {
+    if (edge->active == 0 || elapsed + STOP_MARGIN_US > grace) {
         log_event(LOG_LEVEL_INFO, "process", "drained", "active=%u took_ms=%" PRIu64, edge->active,
-                  since / 1000);
+                  elapsed / 1000);
         uv_stop(edge->loop);
     }
 }
 
-/* Close what is idle or unanswered for too long. After a pause of this process what has arrived
- * meanwhile is not read yet: connections that seem to be silent get until the next tick. */
-static void sweep_connections(struct edge *edge, uint64_t now)
+/* Closes connections that were idle or without a response for too long. After a pause of this
+ * process, data that arrived meanwhile is not read yet, so connections that seem silent are kept
+ * until the next tick. */
+static void close_expired_connections(struct edge *edge, uint64_t now)
 {
     bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + OWN_PAUSE_US;
     edge->last_tick = now;
     if (paused)
         return;
-    upstream_sweep(edge, now);
-    edge_client_sweep(edge, now);
+    upstream_close_expired(edge, now);
+    edge_client_close_expired(edge, now);
 }
 
 static void on_tick(uv_timer_t *timer)
@@ -167,17 +168,17 @@
     count_gateways(edge);
     weight_relay_tick(edge->relay, now);
     crash_watch_tick(edge, now);
-    edge_client_end_blocked(edge);
+    edge_client_fail_blocked(edge);
     backend_pool_expire(edge->pool, cluster_store_is_sound(&edge->cluster), now);
-    sweep_connections(edge, now);
-    exchange_dispatch_waiting(edge);
+    close_expired_connections(edge, now);
+    exchange_dispatch_queued(edge);
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, edge->active);
     metric_gauge_set(METRIC_BACKENDS, backend_pool_count(edge->pool));
     metric_gauge_set(METRIC_STATE_REVISION, state_cache_revision(edge->cluster.state));
-    metric_gauge_set(METRIC_WAITING_REQUESTS, exchange_waiting_count(edge));
+    metric_gauge_set(METRIC_WAITING_REQUESTS, exchange_queue_length(edge));
     if (edge->stopping_since)
-        consider_end(edge, now);
-    uv_timer_set_repeat(timer, edge->cluster.started ? TICK_MS : FIRST_TICK_MS);
+        stop_if_drained(edge, now);
+    uv_timer_set_repeat(timer, edge->cluster.started ? TICK_MS : STARTUP_TICK_MS);
 }
 
 static void on_stop(struct process *process)
@@ -189,8 +190,7 @@
     cluster_tell_draining(&edge->cluster);
 }
 
-/* --- start
- * ------------------------------------------------------------------------------------------- */
+/* --- Startup --- */
 
 static struct http_service *open_service(struct edge *edge, const char *text,
                                          service_handler *handler)
@@ -212,8 +212,8 @@
                   edge->settings->client_address);
         return 2;
     }
-    edge->directory = open_service(edge, edge->settings->directory_address, on_directory_call);
-    edge->readiness = open_service(edge, edge->settings->ready_address, on_ready_call);
+    edge->directory = open_service(edge, edge->settings->directory_address, on_directory_request);
+    edge->readiness = open_service(edge, edge->settings->ready_address, on_readiness_request);
     int error = tcp_listen(edge->loop, &edge->listener, &address, edge_client_accept, edge);
     if (error || !edge->directory || !edge->readiness) {
         log_event(LOG_LEVEL_ERROR, "edge", "listen-failed", "address=%s error=\"%s\"",
@@ -223,17 +223,17 @@
     return 0;
 }
 
-/* What leaves serves on for the bound, from when its list knows: that is some time before this
- * gateway does. */
-static uint64_t min_drain_us(const struct settings *settings)
+/* A leaving backend serves for the drain bound from the time the list shows it, which is some time
+ * before this gateway does. */
+static uint64_t drain_usable_us(const struct settings *settings)
 {
     return settings->drain_bound_ms * 1000 - DRAIN_MARGIN_US;
 }
 
-static uint64_t unlisted_grace_us(const struct settings *settings)
+static uint64_t unlisted_usable_us(const struct settings *settings)
 {
-    uint64_t bound = min_drain_us(settings);
-    return bound < UNLISTED_MOST_US ? bound : UNLISTED_MOST_US;
+    uint64_t bound = drain_usable_us(settings);
+    return bound < UNLISTED_MAX_US ? bound : UNLISTED_MAX_US;
 }
 
 static int edge_run(struct edge *edge, const struct settings *settings)
@@ -243,23 +243,23 @@
                                           .load_received = on_load,
                                           .call_received = on_call,
                                           .suspects_changed = on_suspects_changed,
-                                          .woke = on_woke};
+                                          .woke = on_resumed_after_pause};
     struct backend_pool_settings pool = {.queue_per_engine = (uint32_t)settings->engine_queue,
                                          .tokens_per_engine =
                                              (uint32_t)settings->engine_unread_tokens,
-                                         .max_load_age_us = LOAD_FRESH_US,
-                                         .max_near_load_age_us = NEAR_LOAD_FRESH_US,
-                                         .unlisted_grace_us = unlisted_grace_us(settings),
-                                         .min_drain_us = min_drain_us(settings),
+                                         .max_load_age_us = LOAD_MAX_AGE_US,
+                                         .max_near_load_age_us = NEAR_LOAD_MAX_AGE_US,
+                                         .unlisted_grace_us = unlisted_usable_us(settings),
+                                         .min_drain_us = drain_usable_us(settings),
                                          .created = cluster_now()};
     edge->settings = settings;
     edge->loop = uv_default_loop();
-    edge->started = cluster_now();
-    edge->random.seed = hash_name(settings->name) ^ edge->started;
+    edge->started_at = cluster_now();
+    edge->random.seed = hash_name(settings->name) ^ edge->started_at;
     edge->pool = backend_pool_create(&pool, edge->random.seed + 1);
     edge->relay = weight_relay_create(&edge->cluster);
     edge->gateways = 1;
-    edge->gateways_most = (uint32_t)settings->least_gateways;
+    edge->max_gateways = (uint32_t)settings->least_gateways;
     int result = open_listeners(edge);
     if (result)
         return result;
