--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -123,14 +123,14 @@
 
 bool cluster_reads_store(const struct cluster *cluster)
 {
-    return cluster->role.duty != READER_RESTS;
+    return cluster->role.duty != READER_INACTIVE;
 }
 
 bool cluster_store_is_sound(const struct cluster *cluster)
 {
     /* A node that the store turns away gets the list from others: their word counts, not its own
      * failures. */
-    return reader_role_somebody_is_sound(cluster->membership);
+    return reader_role_any_reader_is_healthy(cluster->membership);
 }
 
 static void write_revisions(struct cluster *cluster)
@@ -162,7 +162,7 @@
     for (uint32_t i = 0; i < membership_count(cluster->membership); i++) {
         const struct member_state *member = membership_at(cluster->membership, i);
         if (member_is_alive(member) && member->role == MEMBER_GATEWAY)
-            membership_tell(cluster->membership, member->address);
+            membership_send_update(cluster->membership, member->address);
     }
 }
 
@@ -181,7 +181,8 @@
     store_reader_set_duty(cluster->reader, cluster->role.duty);
     write_revisions(cluster);
     /* The own state is written at each message too: it says nothing of what others were told. */
-    if (reader_role_must_tell(&cluster->role, membership_self(cluster->membership)->store_sound))
+    if (reader_role_must_announce(&cluster->role,
+                                  membership_self(cluster->membership)->store_sound))
         tell_gateways(cluster);
 }
 
@@ -200,7 +201,7 @@
 static void watch_start(struct cluster *cluster, uint64_t now)
 {
     bool has_state = cluster->operator_revision != 0;
-    bool is_settled = membership_is_settled(cluster->membership);
+    bool is_settled = membership_is_converged(cluster->membership);
     if (cluster->started)
         return;
     uint64_t took_ms = (now - cluster->opened_at) / 1000;
@@ -222,14 +223,14 @@
 {
     struct cluster *cluster = prepare->data;
     struct wake wake =
-        wake_watch_look(&cluster->wake_watch, clock_monotonic_us(), clock_timer_us());
+        wake_watch_check(&cluster->wake_watch, clock_monotonic_us(), clock_timer_us());
     if (wake.kind == WAKE_NONE)
         return;
     metric_add(METRIC_WAKES, 1);
     log_event(LOG_LEVEL_WARN, "cluster", "woke", "kind=%s pause_ms=%llu", wake_kind_name(wake.kind),
               (unsigned long long)(wake.pause_us / 1000));
     cluster->callbacks.woke(cluster->callbacks.context, &wake);
-    if (cluster->reader && wake.pause_us > WAKE_LONG_US)
+    if (cluster->reader && wake.pause_us > WAKE_LONG_PAUSE_US)
         store_reader_restart(cluster->reader);
 }
 
@@ -255,7 +256,7 @@
                         uint32_t sender, uint64_t now)
 {
     write_revisions(cluster);
-    membership_read(cluster->membership, sender, message, now);
+    membership_receive(cluster->membership, sender, message, now);
     if (message->changes)
         state_sync_take(cluster->sync, message->changes);
     /* A node that holds only the operator's part needs nothing else. */
@@ -291,10 +292,10 @@
 {
     uint64_t uptime_us = message->uptime_ms * 1000;
     if (message->uptime_ms && now > uptime_us &&
-        membership_note_start(cluster->membership, sender, now - uptime_us))
-        membership_tell(cluster->membership, sender);
+        membership_record_process_start(cluster->membership, sender, now - uptime_us))
+        membership_send_update(cluster->membership, sender);
     if (message->load)
-        membership_note_engine(cluster->membership, sender, message->load->born);
+        membership_record_engine_start(cluster->membership, sender, message->load->born);
     uint64_t age_us = message->earlier_age_ms * 1000;
     if (message->earlier_age_ms && now > age_us && cluster->callbacks.predecessor_heard)
         cluster->callbacks.predecessor_heard(cluster->callbacks.context, now - age_us + 1000,
@@ -321,7 +322,7 @@
     if (message->sender && message->sender->address == sender)
         take_sender(cluster, message, sender, now);
     else
-        membership_heard(cluster->membership, sender, now);
+        membership_record_contact(cluster->membership, sender, now);
     if (message->load && cluster->callbacks.load_received)
         cluster->callbacks.load_received(cluster->callbacks.context, message->load);
     shuntrun__member_message__free_unpacked(message, NULL);
@@ -421,7 +422,7 @@
     struct membership_driver driver = {cluster, on_membership_send};
     cluster->random.seed = hash_name(settings->name) ^ self.incarnation;
     cluster->membership =
-        membership_create(&membership_usual_settings, &self, cluster->random.seed + 1, &driver);
+        membership_create(&membership_default_settings, &self, cluster->random.seed + 1, &driver);
     add_seeds(cluster);
     struct state_cache_listener listener = {cluster, on_item};
     cluster->state = state_cache_create(&listener);
--- a/src/cluster/news_push.c
+++ b/src/cluster/news_push.c
@@ -39,8 +39,8 @@
     pushed->changes.after = after;
     pushed->changes.revision = revision;
     pushed->changes.operator_only = operator_only;
-    pushed->fits = after && (operator_only ? state_cache_remembers(state, after)
-                                           : state_cache_continues(state, after));
+    pushed->fits = after && (operator_only ? state_cache_retains_since(state, after)
+                                           : state_cache_has_delta_since(state, after));
     for (uint32_t i = 0; pushed->fits && i < state_cache_count(state); i++) {
         const struct state_item *item = state_cache_at(state, i);
         if (item->revision > after && (!operator_only || state_message_is_of_operator(item)))
@@ -53,7 +53,7 @@
 
 static void tell(struct cluster *cluster, uint32_t address, struct pushed_changes *pushed)
 {
-    membership_tell_changes(cluster->membership, address, pushed->fits ? &pushed->changes : NULL);
+    membership_send_changes(cluster->membership, address, pushed->fits ? &pushed->changes : NULL);
 }
 
 /* Gateways of the own region that do not read the store. */
--- a/src/cluster/state_sync.c
+++ b/src/cluster/state_sync.c
@@ -41,7 +41,7 @@
         const Shuntrun__StateItem *item = changes->items[i];
         uint64_t age = item->age_ms * 1000;
         uint64_t learned = now > age ? now - age : 0;
-        struct state_loss loss = {learned, item->from_outage};
+        struct state_removal loss = {learned, item->from_outage};
         if (item->gone)
             state_cache_remove(state, item->key, item->revision, &loss);
         else
@@ -57,10 +57,10 @@
         state_cache_snapshot_begin(state, "");
     take_items(sync, changes);
     /* This node was so far behind that nobody knows when what is missing went: long ago. */
-    struct state_loss loss = {.learned = 1};
+    struct state_removal loss = {.learned = 1};
     if (changes->whole)
         state_cache_snapshot_end(state, "", changes->revision, &loss);
-    state_cache_reach(state, changes->revision);
+    state_cache_advance(state, changes->revision);
 }
 
 /* Configurations are texts that compress to a tenth. */
@@ -139,7 +139,7 @@
         return true;
     take_items(sync, changes);
     if (!changes->operator_only)
-        state_cache_reach(cluster->state, changes->revision);
+        state_cache_advance(cluster->state, changes->revision);
     cluster_pass_on(cluster);
     return true;
 }
@@ -192,7 +192,8 @@
 {
     if (!after)
         return false;
-    return operator_only ? state_cache_remembers(state, after) : state_cache_covers(state, after);
+    return operator_only ? state_cache_retains_since(state, after)
+                         : state_cache_has_delta_for(state, after);
 }
 
 static void serve_changes(struct state_sync *sync, struct service_call *call, uint64_t after,
--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -42,16 +42,16 @@
     uv_timer_start(&reader->timer, on_timer, store_watch_failed(&reader->watch, failure), 0);
 }
 
-static struct state_loss loss_now(const struct store_reader *reader)
+static struct state_removal loss_now(const struct store_reader *reader)
 {
     bool own_gap = cluster_was_isolated(reader->cluster, reader->watch.answered_at);
-    return store_watch_loss(&reader->watch, own_gap, cluster_now());
+    return store_watch_removal(&reader->watch, own_gap, cluster_now());
 }
 
 static void take_items(struct store_reader *reader, const struct store_answer *answer)
 {
     struct state_cache *state = reader->cluster->state;
-    struct state_loss loss = loss_now(reader);
+    struct state_removal loss = loss_now(reader);
     uint64_t now = cluster_now();
     for (uint32_t i = 0; i < answer->count; i++) {
         const struct store_item *item = &answer->items[i];
@@ -77,7 +77,7 @@
         return 0;
     }
     reader->page_key[0] = 0;
-    struct state_loss loss = loss_now(reader);
+    struct state_removal loss = loss_now(reader);
     state_cache_snapshot_end(state, PLATFORM_ALL_KEYS, reader->page_revision, &loss);
     log_event(LOG_LEVEL_INFO, "store", "read", "revision=%" PRIu64, reader->page_revision);
     return reader->page_revision;
@@ -92,7 +92,7 @@
 static void gather(struct store_reader *reader)
 {
     uint64_t bound_ms = reader->cluster->settings->drain_bound_ms;
-    uv_timer_start(&reader->timer, on_timer, reader_role_gather_ms(reader->duty, bound_ms), 0);
+    uv_timer_start(&reader->timer, on_timer, reader_role_batch_delay_ms(reader->duty, bound_ms), 0);
 }
 
 static void take_answer(struct store_reader *reader, const struct store_answer *answer)
@@ -104,7 +104,7 @@
                   reader->watch.failures, reader->watch.outage,
                   (cluster_now() - reader->watch.answered_at) / 1000);
     store_watch_answered(&reader->watch, revision, cluster_now());
-    state_cache_reach(reader->cluster->state, reader->watch.revision);
+    state_cache_advance(reader->cluster->state, reader->watch.revision);
     cluster_pass_on(reader->cluster);
     if (reader->watch.revision && answer->count)
         gather(reader);
@@ -116,11 +116,11 @@
 {
     switch (result) {
     case CALL_BROKEN:
-        return STORE_CUT;
+        return STORE_DISCONNECTED;
     case CALL_SILENT:
-        return STORE_SILENT;
+        return STORE_TIMED_OUT;
     default:
-        return STORE_AWAY;
+        return STORE_UNAVAILABLE;
     }
 }
 
@@ -129,7 +129,7 @@
     struct store_reader *reader = context;
     struct store_answer answer;
     char reason[64];
-    if (reader->duty == READER_RESTS)
+    if (reader->duty == READER_INACTIVE)
         return;
     if (result != CALL_ANSWERED) {
         on_failure(reader, failure_of(result), call_result_name(result));
@@ -146,7 +146,7 @@
     if (status != 200 ||
         platform_read_store_answer(message->body.data, message->body.size, &answer) != STATUS_OK) {
         snprintf(reason, sizeof reason, "status %u", status);
-        on_failure(reader, STORE_AWAY, reason);
+        on_failure(reader, STORE_UNAVAILABLE, reason);
         return;
     }
     if (answer.left_out)
@@ -159,7 +159,7 @@
 static void call_store(struct store_reader *reader)
 {
     struct buffer target = {0};
-    store_watch_learn(&reader->watch, state_cache_revision(reader->cluster->state));
+    store_watch_advance(&reader->watch, state_cache_revision(reader->cluster->state));
     struct store_call call = store_watch_next_call(&reader->watch);
     struct caller_request request = {.method = "GET",
                                      .timeout_ms = call.timeout_ms,
@@ -204,16 +204,16 @@
 /* Peers told what happened meanwhile: the watch goes on from there. */
 static void resume(struct store_reader *reader)
 {
-    store_watch_begin(&reader->watch, state_cache_revision(reader->cluster->state), cluster_now());
+    store_watch_init(&reader->watch, state_cache_revision(reader->cluster->state), cluster_now());
     call_store(reader);
 }
 
 static const char *duty_event(enum reader_duty duty)
 {
     switch (duty) {
-    case READER_LEADS:
+    case READER_LEADER:
         return "leads";
-    case READER_STANDS_BY:
+    case READER_STANDBY:
         return "stands-by";
     default:
         return "rests";
@@ -235,11 +235,11 @@
     log_event(LOG_LEVEL_INFO, "store", duty_event(duty), "revision=%" PRIu64,
               state_cache_revision(reader->cluster->state));
     reader->duty = duty;
-    if (duty == READER_RESTS)
+    if (duty == READER_INACTIVE)
         stop(reader);
-    else if (before == READER_RESTS)
+    else if (before == READER_INACTIVE)
         resume(reader);
-    else if (duty == READER_LEADS)
+    else if (duty == READER_LEADER)
         hurry(reader);
 }
 
@@ -250,5 +250,5 @@
 
 bool store_reader_is_sound(const struct store_reader *reader)
 {
-    return reader->duty != READER_RESTS && store_watch_is_sound(&reader->watch);
+    return reader->duty != READER_INACTIVE && store_watch_is_healthy(&reader->watch);
 }
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -10,24 +10,24 @@
 /** Time between comparisons while they bring news: an answer, or some pages of it, comes in it. */
 /** A start is known by its age in a message, which took some time on its way. A process starts
  * again later than this after its last message. */
-#define START_MARGIN_US 5000
-#define COMPARE_FIRST_US 50000
+#define PROCESS_START_MARGIN_US 5000
+#define SYNC_MIN_INTERVAL_US 50000
 /** One in so many comparisons is with another region: bytes on the way there are dear, but what one
  *  node of a region learns from there soon goes round in it. */
-#define COMPARE_FAR_ONE_IN 6
+#define SYNC_REMOTE_ONE_IN 6
 /** Members that are drawn in search of one of the wanted region. */
-#define COMPARE_TRIES 8
+#define SYNC_TARGET_TRIES 8
 /** A node that knows a smaller share of the members than another one is not settled. */
-#define SETTLED_SHARE 0.9
+#define CONVERGED_FRACTION 0.9
 /** Ticks that are so late mean that the process stood still. */
-#define PAUSE_PERIODS 3
+#define PAUSE_MIN_PERIODS 3
 
-const struct membership_settings membership_usual_settings = {.period_us = 400000,
-                                                              .direct_us = 150000,
-                                                              .suspect_us = 1500000,
-                                                              .forget_us = 30000000,
-                                                              .compare_us = 2000000,
-                                                              .question_us = 50000};
+const struct membership_settings membership_default_settings = {.probe_period_us = 400000,
+                                                                .ack_timeout_us = 150000,
+                                                                .suspect_us = 1500000,
+                                                                .dead_retention_us = 30000000,
+                                                                .sync_interval_us = 2000000,
+                                                                .seed_retry_us = 50000};
 
 struct membership *membership_create(const struct membership_settings *settings,
                                      const struct member_state *self, uint64_t seed,
@@ -52,7 +52,7 @@
 
 void membership_add_seed(struct membership *membership, uint32_t address)
 {
-    if (address != membership->self.address && membership->seed_count < MEMBERSHIP_SEEDS_MOST)
+    if (address != membership->self.address && membership->seed_count < MEMBERSHIP_MAX_SEEDS)
         membership->seeds[membership->seed_count++] = address;
 }
 
@@ -71,15 +71,15 @@
 
 struct member_state *membership_lookup(const struct membership *membership, uint32_t address)
 {
-    uint32_t place = address_index_find(&membership->index, address);
-    return place == ADDRESS_INDEX_NONE ? NULL : &membership->members[place];
+    uint32_t index = address_index_find(&membership->index, address);
+    return index == ADDRESS_INDEX_NONE ? NULL : &membership->members[index];
 }
 
-void membership_place(struct membership *membership, uint32_t place,
-                      const struct member_state *member)
+void membership_set_at(struct membership *membership, uint32_t index,
+                       const struct member_state *member)
 {
-    membership->members[place] = *member;
-    address_index_put(&membership->index, member->address, place);
+    membership->members[index] = *member;
+    address_index_put(&membership->index, member->address, index);
 }
 
 void membership_set_health(struct membership *membership, struct member_state *member,
@@ -90,29 +90,30 @@
     membership->generation++;
     member->health = health;
     member->joined = member->joined && health == MEMBER_ALIVE;
-    member->changed_at = now;
-    member->told = 0;
+    member->health_changed_at = now;
+    member->transmits = 0;
 }
 
 /* Of one incarnation worse news win: only the member itself can refute them. */
-static bool is_newer(const Shuntrun__MemberNews *news, const struct member_state *member)
+static bool supersedes(const Shuntrun__MemberNews *update, const struct member_state *member)
 {
-    if (news->incarnation != member->incarnation)
-        return news->incarnation > member->incarnation;
-    return news->health > member->health;
+    if (update->incarnation != member->incarnation)
+        return update->incarnation > member->incarnation;
+    return update->health > member->health;
 }
 
-static bool is_same(const Shuntrun__MemberNews *news, const struct member_state *member)
+static bool repeats_known_state(const Shuntrun__MemberNews *update,
+                                const struct member_state *member)
 {
-    return news->incarnation == member->incarnation && news->health == member->health;
+    return update->incarnation == member->incarnation && update->health == member->health;
 }
 
-static void refute(struct membership *membership, const Shuntrun__MemberNews *news)
+static void refute(struct membership *membership, const Shuntrun__MemberNews *update)
 {
     struct member_state *self = &membership->self;
-    if (news->incarnation > self->incarnation) /* an earlier start with a clock that was ahead */
-        self->incarnation = news->incarnation + 1;
-    else if (news->incarnation == self->incarnation && news->health != MEMBER_ALIVE)
+    if (update->incarnation > self->incarnation) /* an earlier start with a clock that was ahead */
+        self->incarnation = update->incarnation + 1;
+    else if (update->incarnation == self->incarnation && update->health != MEMBER_ALIVE)
         self->incarnation++;
 }
 
@@ -121,65 +122,66 @@
     membership->members =
         memory_resize(membership->members, (membership->count + 1) * sizeof *membership->members);
     /* At a random place, so that not all nodes probe the members in the order of their joining. */
-    uint32_t place = (uint32_t)random_below(&membership->random, ++membership->count);
+    uint32_t index = (uint32_t)random_below(&membership->random, ++membership->count);
     uint32_t last = membership->count - 1;
-    if (place != last)
-        membership_place(membership, last, &membership->members[place]);
-    membership_place(membership, place, &(struct member_state){.address = address});
+    if (index != last)
+        membership_set_at(membership, last, &membership->members[index]);
+    membership_set_at(membership, index, &(struct member_state){.address = address});
     membership->generation++;
-    return &membership->members[place];
+    return &membership->members[index];
 }
 
-static bool is_valid(const Shuntrun__MemberNews *news)
+static bool is_valid_update(const Shuntrun__MemberNews *update)
 {
-    return news->address && (news->role == MEMBER_GATEWAY || news->role == MEMBER_LOADER) &&
-           news->health >= MEMBER_ALIVE && news->health <= MEMBER_DEAD;
+    return update->address && (update->role == MEMBER_GATEWAY || update->role == MEMBER_LOADER) &&
+           update->health >= MEMBER_ALIVE && update->health <= MEMBER_DEAD;
 }
 
 /* Where a member is: what its news say, or the place of the message that they name. */
-static void write_place(const Shuntrun__MemberMessage *message, const Shuntrun__MemberNews *news,
-                        struct member_state *member)
+static void copy_place(const Shuntrun__MemberMessage *message, const Shuntrun__MemberNews *update,
+                       struct member_state *member)
 {
-    bool named = news->place > 0 && news->place <= message->n_places;
-    const Shuntrun__MemberPlace *place = named ? message->places[news->place - 1] : NULL;
-    snprintf(member->zone, sizeof member->zone, "%s", place ? place->zone : news->zone);
-    snprintf(member->region, sizeof member->region, "%s", place ? place->region : news->region);
+    bool named = update->place > 0 && update->place <= message->n_places;
+    const Shuntrun__MemberPlace *place = named ? message->places[update->place - 1] : NULL;
+    snprintf(member->zone, sizeof member->zone, "%s", place ? place->zone : update->zone);
+    snprintf(member->region, sizeof member->region, "%s", place ? place->region : update->region);
 }
 
-void membership_take(struct membership *membership, const Shuntrun__MemberMessage *message,
-                     const Shuntrun__MemberNews *news, uint32_t told, uint64_t now)
+void membership_apply(struct membership *membership, const Shuntrun__MemberMessage *message,
+                      const Shuntrun__MemberNews *update, uint32_t transmits, uint64_t now)
 {
-    if (!is_valid(news))
+    if (!is_valid_update(update))
         return;
-    if (news->address == membership->self.address) {
-        refute(membership, news);
+    if (update->address == membership->self.address) {
+        refute(membership, update);
         return;
     }
-    struct member_state *member = membership_lookup(membership, news->address);
-    if (member && !is_newer(news, member)) {
-        member->told += is_same(news, member); /* it goes round without this node */
+    struct member_state *member = membership_lookup(membership, update->address);
+    if (member && !supersedes(update, member)) {
+        member->transmits +=
+            repeats_known_state(update, member); /* it goes round without this node */
         return;
     }
     bool is_new = !member;
     if (is_new)
-        member = add_member(membership, news->address);
+        member = add_member(membership, update->address);
     member->joined = is_new;
     membership->generation++;
-    member->incarnation = news->incarnation;
-    member->role = (enum member_role)news->role;
-    write_place(message, news, member);
-    member->draining = news->draining;
-    member->traffic_port = (uint16_t)news->traffic_port;
-    member->link_mbit = news->link_mbit;
-    membership_set_health(membership, member, (enum member_health)news->health, now);
-    member->told = told;
+    member->incarnation = update->incarnation;
+    member->role = (enum member_role)update->role;
+    copy_place(message, update, member);
+    member->draining = update->draining;
+    member->traffic_port = (uint16_t)update->traffic_port;
+    member->link_mbit = update->link_mbit;
+    membership_set_health(membership, member, (enum member_health)update->health, now);
+    member->transmits = transmits;
 }
 
-static void take_sender(struct membership *membership, const Shuntrun__MemberMessage *message,
-                        uint64_t now)
+static void apply_sender(struct membership *membership, const Shuntrun__MemberMessage *message,
+                         uint64_t now)
 {
     const Shuntrun__MemberNews *sender = message->sender;
-    membership_take(membership, message, sender, 0, now);
+    membership_apply(membership, message, sender, 0, now);
     struct member_state *member = membership_lookup(membership, sender->address);
     if (!member)
         return;
@@ -187,10 +189,10 @@
     member->operator_revision = sender->operator_revision;
     member->store_sound = sender->store_sound;
     if (member->incarnation > sender->incarnation)
-        membership_tell(membership, sender->address);
+        membership_send_update(membership, sender->address);
 }
 
-void membership_heard(struct membership *membership, uint32_t from, uint64_t now)
+void membership_record_contact(struct membership *membership, uint32_t from, uint64_t now)
 {
     struct member_state *member = membership_lookup(membership, from);
     membership->heard_at = now;
@@ -198,13 +200,14 @@
         return;
     member->heard_at = now;
     if (member->health != MEMBER_ALIVE) /* it has to hear of that, or it cannot refute */
-        membership_tell(membership, from);
+        membership_send_update(membership, from);
 }
 
-bool membership_note_start(struct membership *membership, uint32_t from, uint64_t started_at)
+bool membership_record_process_start(struct membership *membership, uint32_t from,
+                                     uint64_t started_at)
 {
     struct member_state *member = membership_lookup(membership, from);
-    if (!member || !member->heard_at || member->heard_at + START_MARGIN_US >= started_at ||
+    if (!member || !member->heard_at || member->heard_at + PROCESS_START_MARGIN_US >= started_at ||
         member->earlier_heard_at == member->heard_at)
         return false;
     member->earlier_heard_at = member->heard_at;
@@ -213,7 +216,7 @@
     return true;
 }
 
-void membership_note_engine(struct membership *membership, uint32_t from, uint64_t born)
+void membership_record_engine_start(struct membership *membership, uint32_t from, uint64_t born)
 {
     struct member_state *member = membership_lookup(membership, from);
     if (member)
@@ -221,60 +224,62 @@
 }
 
 /* There may be more where that came from: compare again soon. */
-static void note_table_news(struct membership *membership, uint64_t now)
+static void schedule_early_sync(struct membership *membership, uint64_t now)
 {
-    membership->table_news = true;
-    if (membership->next_compare > now + COMPARE_FIRST_US)
-        membership->next_compare = now + COMPARE_FIRST_US;
+    membership->sync_found_changes = true;
+    if (membership->next_sync > now + SYNC_MIN_INTERVAL_US)
+        membership->next_sync = now + SYNC_MIN_INTERVAL_US;
 }
 
-void membership_read(struct membership *membership, uint32_t from,
-                     const Shuntrun__MemberMessage *message, uint64_t now)
+void membership_receive(struct membership *membership, uint32_t from,
+                        const Shuntrun__MemberMessage *message, uint64_t now)
 {
     uint64_t incarnation = membership->self.incarnation;
     if (message->sender && message->sender->address == from)
-        take_sender(membership, message, now);
-    membership_heard(membership, from, now);
-    if (message->known > membership->most_known)
-        membership->most_known = message->known;
-    uint32_t told = message->from_table ? membership_tell_limit(membership) : 0;
+        apply_sender(membership, message, now);
+    membership_record_contact(membership, from, now);
+    if (message->known > membership->max_known)
+        membership->max_known = message->known;
+    uint32_t transmits = message->from_table ? membership_transmit_limit(membership) : 0;
     uint64_t generation = membership->generation;
     for (size_t i = 0; i < message->n_members; i++)
-        membership_take(membership, message, message->members[i], told, now);
+        membership_apply(membership, message, message->members[i], transmits, now);
     if (message->from_table && membership->generation != generation)
-        note_table_news(membership, now);
+        schedule_early_sync(membership, now);
     if (incarnation != membership->self.incarnation)
-        membership_tell(membership, from);
-    membership_on_probe(membership, from, message);
+        membership_send_update(membership, from);
+    membership_receive_probe(membership, from, message);
     if (message->n_digests)
-        membership_answer_table(membership, from, message->digests, message->n_digests, now);
+        membership_answer_sync(membership, from, message->digests, message->n_digests, now);
 }
 
 /* --- time ----------------------------------------------------------------------------------------
  */
 
 /* What this node missed while it stood still says nothing of others. */
-static void pass_over_pause(struct membership *membership, uint64_t now)
+static void discount_own_pause(struct membership *membership, uint64_t now)
 {
     uint64_t pause = now - membership->last_tick;
-    if (!membership->last_tick || pause < PAUSE_PERIODS * membership->settings.period_us)
+    if (!membership->last_tick || pause < PAUSE_MIN_PERIODS * membership->settings.probe_period_us)
         return;
     membership->probe.target = 0;
     membership->heard_at = now;
     for (uint32_t i = 0; i < membership->count; i++)
         if (membership->members[i].health == MEMBER_SUSPECT)
-            membership->members[i].changed_at = now;
+            membership->members[i].health_changed_at = now;
 }
 
-static void bury_and_forget(struct membership *membership, uint64_t now)
+static void expire_members(struct membership *membership, uint64_t now)
 {
     const struct membership_settings *settings = &membership->settings;
     uint32_t kept = 0;
     for (uint32_t i = 0; i < membership->count; i++) {
         struct member_state *member = &membership->members[i];
-        if (member->health == MEMBER_SUSPECT && now >= member->changed_at + settings->suspect_us)
+        if (member->health == MEMBER_SUSPECT &&
+            now >= member->health_changed_at + settings->suspect_us)
             membership_set_health(membership, member, MEMBER_DEAD, now);
-        if (member->health == MEMBER_DEAD && now >= member->changed_at + settings->forget_us)
+        if (member->health == MEMBER_DEAD &&
+            now >= member->health_changed_at + settings->dead_retention_us)
             continue;
         if (kept != i)
             membership->members[kept] = *member;
@@ -290,17 +295,17 @@
 }
 
 /* \return a living member taken by chance, mostly of the own region; 0: none */
-static uint32_t compare_target(struct membership *membership)
+static uint32_t choose_sync_target(struct membership *membership)
 {
-    bool near = random_below(&membership->random, COMPARE_FAR_ONE_IN) != 0;
+    bool same_region = random_below(&membership->random, SYNC_REMOTE_ONE_IN) != 0;
     uint32_t chosen = 0;
-    for (uint32_t i = 0; i < COMPARE_TRIES && membership->count; i++) {
-        uint64_t place = random_below(&membership->random, membership->count);
-        const struct member_state *member = &membership->members[place];
+    for (uint32_t i = 0; i < SYNC_TARGET_TRIES && membership->count; i++) {
+        uint64_t index = random_below(&membership->random, membership->count);
+        const struct member_state *member = &membership->members[index];
         if (!member_is_alive(member))
             continue;
         chosen = member->address;
-        if ((strcmp(member->region, membership->self.region) == 0) == near)
+        if ((strcmp(member->region, membership->self.region) == 0) == same_region)
             break;
     }
     return chosen;
@@ -313,32 +318,32 @@
  * network of tests/core/fleet_start_test.c; names of zones told once a message have a part in
  * that).
  */
-static void compare_tables(struct membership *membership, uint64_t now)
+static void sync_tables(struct membership *membership, uint64_t now)
 {
-    if (now < membership->next_compare)
+    if (now < membership->next_sync)
         return;
-    uint64_t wait = 2 * membership->compare_wait;
-    if (membership->table_news || wait < COMPARE_FIRST_US)
-        wait = COMPARE_FIRST_US;
-    if (wait > membership->settings.compare_us)
-        wait = membership->settings.compare_us;
-    if (wait == membership->settings.compare_us)
-        membership->most_known = 0; /* those that were counted then may be dead by now */
-    membership->table_news = false;
-    membership->compare_wait = wait;
-    membership->next_compare = now + wait;
-    uint32_t target = compare_target(membership);
+    uint64_t wait = 2 * membership->sync_wait;
+    if (membership->sync_found_changes || wait < SYNC_MIN_INTERVAL_US)
+        wait = SYNC_MIN_INTERVAL_US;
+    if (wait > membership->settings.sync_interval_us)
+        wait = membership->settings.sync_interval_us;
+    if (wait == membership->settings.sync_interval_us)
+        membership->max_known = 0; /* those that were counted then may be dead by now */
+    membership->sync_found_changes = false;
+    membership->sync_wait = wait;
+    membership->next_sync = now + wait;
+    uint32_t target = choose_sync_target(membership);
     if (target)
-        membership_ask_table(membership, target);
+        membership_request_sync(membership, target);
 }
 
 void membership_tick(struct membership *membership, uint64_t now)
 {
-    pass_over_pause(membership, now);
+    discount_own_pause(membership, now);
     membership->last_tick = now;
-    bury_and_forget(membership, now);
+    expire_members(membership, now);
     membership_probe_tick(membership, now);
-    compare_tables(membership, now);
+    sync_tables(membership, now);
 }
 
 /* --- questions -----------------------------------------------------------------------------------
@@ -359,7 +364,7 @@
     return membership_lookup(membership, address);
 }
 
-uint32_t membership_known(struct membership *membership)
+uint32_t membership_known_count(struct membership *membership)
 {
     if (membership->alive_generation == membership->generation)
         return membership->alive;
@@ -369,15 +374,15 @@
     return membership->alive;
 }
 
-double membership_known_share(struct membership *membership)
+double membership_known_fraction(struct membership *membership)
 {
-    uint32_t known = membership_known(membership);
-    return known >= membership->most_known ? 1 : (double)known / membership->most_known;
+    uint32_t known = membership_known_count(membership);
+    return known >= membership->max_known ? 1 : (double)known / membership->max_known;
 }
 
-bool membership_is_settled(struct membership *membership)
+bool membership_is_converged(struct membership *membership)
 {
-    return membership_known_share(membership) >= SETTLED_SHARE;
+    return membership_known_fraction(membership) >= CONVERGED_FRACTION;
 }
 
 uint64_t membership_generation(const struct membership *membership)
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -54,23 +54,23 @@
     uint64_t engine_born;       /**< of the engine that its process reported last, 0: none */
     uint64_t earlier_heard_at;  /**< last message of its earlier process, 0: none is known */
     uint64_t earlier_born;      /**< of the engine that this one reported last, 0: none */
-    uint64_t changed_at;        /**< time at which health last changed here */
-    uint32_t told;              /**< messages, sent or received, that carried the last change */
-    uint64_t told_in;           /**< number of the last one of them */
-    bool joined;                /**< the last change is that it became known here */
+    uint64_t health_changed_at; /**< time at which health last changed here */
+    uint32_t transmits;         /**< messages, sent or received, that carried the last change */
+    uint64_t last_transmit_number; /**< number of the last one of them */
+    bool joined;                   /**< the last change is that it became known here */
 };
 
 struct membership_settings {
-    uint64_t period_us;   /**< one probe in each */
-    uint64_t direct_us;   /**< wait for an acknowledgement before others are asked */
-    uint64_t suspect_us;  /**< time for a suspected member to refute */
-    uint64_t forget_us;   /**< time for which the dead are remembered */
-    uint64_t compare_us;  /**< time between comparisons of tables */
-    uint64_t question_us; /**< time between questions of a node that knows nobody */
+    uint64_t probe_period_us;   /**< one probe in each */
+    uint64_t ack_timeout_us;    /**< wait for an acknowledgement before others are asked */
+    uint64_t suspect_us;        /**< time for a suspected member to refute */
+    uint64_t dead_retention_us; /**< time for which the dead are remembered */
+    uint64_t sync_interval_us;  /**< time between comparisons of tables */
+    uint64_t seed_retry_us;     /**< time between questions of a node that knows nobody */
 };
 
 /** What nodes run with. */
-extern const struct membership_settings membership_usual_settings;
+extern const struct membership_settings membership_default_settings;
 
 /** How messages leave; the message is valid during the call only. */
 struct membership_driver {
@@ -93,21 +93,22 @@
 /** \brief Probes, verdicts, comparisons; call several times in each period. */
 void membership_tick(struct membership *membership, uint64_t now);
 /** \brief Take a message in. \param from address that it came from */
-void membership_read(struct membership *membership, uint32_t from,
-                     const Shuntrun__MemberMessage *message, uint64_t now);
+void membership_receive(struct membership *membership, uint32_t from,
+                        const Shuntrun__MemberMessage *message, uint64_t now);
 /** \brief A member sent something else: it lives. */
-void membership_heard(struct membership *membership, uint32_t from, uint64_t now);
+void membership_record_contact(struct membership *membership, uint32_t from, uint64_t now);
 /**
  * \brief A member says when its process started: what was heard before came from an earlier one.
  * Call it before the message counts as heard. \return whether that is new
  */
-bool membership_note_start(struct membership *membership, uint32_t from, uint64_t started_at);
+bool membership_record_process_start(struct membership *membership, uint32_t from,
+                                     uint64_t started_at);
 /** \brief A member reported a start of its engine. */
-void membership_note_engine(struct membership *membership, uint32_t from, uint64_t born);
+void membership_record_engine_start(struct membership *membership, uint32_t from, uint64_t born);
 /** \brief Send the own state and news to one node, outside of the periods. */
-void membership_tell(struct membership *membership, uint32_t address);
+void membership_send_update(struct membership *membership, uint32_t address);
 /** \brief The same, with changes of what the platform publishes. */
-void membership_tell_changes(struct membership *membership, uint32_t address,
+void membership_send_changes(struct membership *membership, uint32_t address,
                              Shuntrun__StateChanges *changes);
 
 /** \brief Other members, whatever their health. */
@@ -121,9 +122,9 @@
  * Just after a start it is small, and what a node works out from its members differs from what
  * others work out. Members of the own region become known first.
  */
-double membership_known_share(struct membership *membership);
+double membership_known_fraction(struct membership *membership);
 /** \return whether this node knows most members, of all regions */
-bool membership_is_settled(struct membership *membership);
+bool membership_is_converged(struct membership *membership);
 /** \return members of a role that are not held for dead, this node included */
 uint32_t membership_alive_count(const struct membership *membership, enum member_role role);
 
@@ -134,7 +135,7 @@
 }
 
 /** \return whether there is no doubt about the member */
-static inline bool member_is_trusted(const struct member_state *member)
+static inline bool member_is_healthy(const struct member_state *member)
 {
     return member->health == MEMBER_ALIVE;
 }
--- a/src/core/membership_news.c
+++ b/src/core/membership_news.c
@@ -8,56 +8,56 @@
 #include <string.h>
 
 /** A change is told in so many messages for each doubling of the members. */
-#define TELL_FACTOR 2
+#define TRANSMITS_PER_DOUBLING 2
 /** That a member joined is told in so many messages by each node: comparisons of tables bring it to
  * whoever was missed, and after a start of all a large fleet would go on telling for minutes. */
-#define JOINED_TOLD 4
+#define JOIN_TRANSMITS_MAX 4
 /** Members that a message for another purpose tells of, besides: the rest goes on the next ones. */
-#define CHANGES_MOST 12
+#define MAX_PIGGYBACKED_UPDATES 12
 /** Messages of one answer to a comparison at most; the rest waits for the next one. */
-#define PAGES_MOST 4
+#define MAX_PAGES_PER_ANSWER 4
 /** Pages that a node sends in answers, a second and at once: half of a link of 9.4 Mbit/s. Hundreds
  * of nodes that start at once ask the same few seeds; once they know one node they ask others. */
-#define PAGES_PER_S 450
-#define PAGES_AT_ONCE 60
+#define PAGES_PER_SECOND 450
+#define PAGE_BURST 60
 
-static void write_news(const struct member_state *state, Shuntrun__MemberNews *news)
+static void fill_update(const struct member_state *state, Shuntrun__MemberNews *update)
 {
-    shuntrun__member_news__init(news);
-    news->address = state->address;
-    news->incarnation = state->incarnation;
-    news->health = state->health;
-    news->role = state->role;
-    news->draining = state->draining;
-    news->traffic_port = state->traffic_port;
-    news->link_mbit = state->link_mbit;
+    shuntrun__member_news__init(update);
+    update->address = state->address;
+    update->incarnation = state->incarnation;
+    update->health = state->health;
+    update->role = state->role;
+    update->draining = state->draining;
+    update->traffic_port = state->traffic_port;
+    update->link_mbit = state->link_mbit;
 }
 
 void membership_message_begin(struct membership *membership, struct membership_message *message)
 {
     shuntrun__member_message__init(&message->message);
-    write_news(&membership->self, &message->sender);
+    fill_update(&membership->self, &message->sender);
     message->sender.zone = (char *)membership->self.zone;
     message->sender.region = (char *)membership->self.region;
     message->sender.state_revision = membership->self.state_revision;
     message->sender.operator_revision = membership->self.operator_revision;
     message->sender.store_sound = membership->self.store_sound;
     message->message.sender = &message->sender;
-    message->message.known = membership_known(membership);
+    message->message.known = membership_known_count(membership);
     message->message.members = message->pointers;
     message->message.places = message->place_pointers;
 }
 
 /* \return number of the member's place in the message, counted from 1; 0: the message has no room
  */
-static uint32_t number_place(struct membership_message *message, const struct member_state *member)
+static uint32_t place_number(struct membership_message *message, const struct member_state *member)
 {
     size_t count = message->message.n_places;
     for (size_t i = 0; i < count; i++)
         if (strcmp(message->places[i].zone, member->zone) == 0 &&
             strcmp(message->places[i].region, member->region) == 0)
             return (uint32_t)i + 1;
-    if (count == MEMBERSHIP_PLACES_MOST)
+    if (count == MEMBERSHIP_MAX_PLACES)
         return 0;
     shuntrun__member_place__init(&message->places[count]);
     message->places[count].zone = (char *)member->zone;
@@ -66,43 +66,43 @@
     return (uint32_t)++message->message.n_places;
 }
 
-static void add_news(struct membership_message *message, const struct member_state *member)
+static void add_update(struct membership_message *message, const struct member_state *member)
 {
     size_t index = message->message.n_members++;
-    Shuntrun__MemberNews *news = &message->news[index];
-    write_news(member, news);
-    news->place = number_place(message, member);
-    if (!news->place) {
-        news->zone = (char *)member->zone;
-        news->region = (char *)member->region;
+    Shuntrun__MemberNews *update = &message->update[index];
+    fill_update(member, update);
+    update->place = place_number(message, member);
+    if (!update->place) {
+        update->zone = (char *)member->zone;
+        update->region = (char *)member->region;
     }
-    message->pointers[index] = news;
+    message->pointers[index] = update;
 }
 
-uint32_t membership_tell_limit(const struct membership *membership)
+uint32_t membership_transmit_limit(const struct membership *membership)
 {
     uint32_t doublings = 1;
     for (uint32_t members = membership->count; members > 1; members /= 2)
         doublings++;
-    return TELL_FACTOR * doublings;
+    return TRANSMITS_PER_DOUBLING * doublings;
 }
 
 /* What was told least often goes first. */
 static void add_changes(struct membership *membership, struct membership_message *message)
 {
-    uint32_t limit = membership_tell_limit(membership);
+    uint32_t limit = membership_transmit_limit(membership);
     uint64_t number = ++membership->messages;
-    for (uint32_t told = 0; told < limit; told++) {
+    for (uint32_t transmits = 0; transmits < limit; transmits++) {
         for (uint32_t i = 0; i < membership->count; i++) {
             struct member_state *member = &membership->members[i];
-            if (message->message.n_members >= CHANGES_MOST)
+            if (message->message.n_members >= MAX_PIGGYBACKED_UPDATES)
                 return;
-            if (member->told != told || member->told_in == number ||
-                (member->joined && told >= JOINED_TOLD))
+            if (member->transmits != transmits || member->last_transmit_number == number ||
+                (member->joined && transmits >= JOIN_TRANSMITS_MAX))
                 continue;
-            member->told++;
-            member->told_in = number;
-            add_news(message, member);
+            member->transmits++;
+            member->last_transmit_number = number;
+            add_update(message, member);
         }
     }
 }
@@ -110,28 +110,28 @@
 void membership_message_send(struct membership *membership, struct membership_message *message,
                              uint32_t recipient)
 {
-    const struct member_state *known = membership_lookup(membership, recipient);
-    if (known && known->health != MEMBER_ALIVE)
-        add_news(message, known);
+    const struct member_state *member = membership_lookup(membership, recipient);
+    if (member && member->health != MEMBER_ALIVE)
+        add_update(message, member);
     add_changes(membership, message);
     membership->driver.send(membership->driver.context, recipient, &message->message);
 }
 
-void membership_tell_changes(struct membership *membership, uint32_t address,
+void membership_send_changes(struct membership *membership, uint32_t address,
                              Shuntrun__StateChanges *changes)
 {
     struct membership_message message;
     membership_message_begin(membership, &message);
     message.message.changes = changes;
-    const struct member_state *known = membership_lookup(membership, address);
-    if (known && known->health == MEMBER_ALIVE)
-        add_news(&message, known);
+    const struct member_state *member = membership_lookup(membership, address);
+    if (member && member->health == MEMBER_ALIVE)
+        add_update(&message, member);
     membership_message_send(membership, &message, address);
 }
 
-void membership_tell(struct membership *membership, uint32_t address)
+void membership_send_update(struct membership *membership, uint32_t address)
 {
-    membership_tell_changes(membership, address, NULL);
+    membership_send_changes(membership, address, NULL);
 }
 
 /* --- comparison of tables ------------------------------------------------------------------------
@@ -162,7 +162,7 @@
     }
 }
 
-void membership_ask_table(struct membership *membership, uint32_t address)
+void membership_request_sync(struct membership *membership, uint32_t address)
 {
     struct membership_message message;
     membership_message_begin(membership, &message);
@@ -181,39 +181,39 @@
 }
 
 /* Pages of an answer that is being written. */
-struct table_answer {
+struct sync_answer {
     struct membership_message page;
-    uint32_t address; /* of who asked */
+    uint32_t address; /* of who requested */
     uint32_t pages;   /* that may still be sent */
 };
 
 /* \return pages that the next answer may have */
-static uint32_t allow_pages(struct membership *membership, uint64_t now)
+static uint32_t take_page_allowance(struct membership *membership, uint64_t now)
 {
-    double elapsed_s = (double)(now - membership->pages_counted) / 1e6;
-    membership->pages_counted = now;
-    membership->answer_pages += elapsed_s * PAGES_PER_S;
-    if (membership->answer_pages > PAGES_AT_ONCE)
-        membership->answer_pages = PAGES_AT_ONCE;
-    if (membership->answer_pages >= PAGES_AT_ONCE / 2)
-        return PAGES_MOST;
-    return membership->answer_pages >= 1 ? 1 : 0;
+    double elapsed_s = (double)(now - membership->page_tokens_at) / 1e6;
+    membership->page_tokens_at = now;
+    membership->page_tokens += elapsed_s * PAGES_PER_SECOND;
+    if (membership->page_tokens > PAGE_BURST)
+        membership->page_tokens = PAGE_BURST;
+    if (membership->page_tokens >= PAGE_BURST / 2)
+        return MAX_PAGES_PER_ANSWER;
+    return membership->page_tokens >= 1 ? 1 : 0;
 }
 
-static void add_to_answer(struct membership *membership, struct table_answer *answer,
-                          const struct member_state *member)
+static void append_to_answer(struct membership *membership, struct sync_answer *answer,
+                             const struct member_state *member)
 {
-    add_news(&answer->page, member);
-    if (answer->page.message.n_members < MEMBERSHIP_NEWS_MOST)
+    add_update(&answer->page, member);
+    if (answer->page.message.n_members < MEMBERSHIP_MAX_UPDATES)
         return;
     send_page(membership, &answer->page, answer->address);
-    membership->answer_pages--;
+    membership->page_tokens--;
     answer->pages--;
 }
 
 /* Members in the order of their buckets. */
 struct bucket_order {
-    uint32_t *places;                       /* in the table */
+    uint32_t *indexes;                      /* in the table */
     uint32_t first[MEMBERSHIP_BUCKETS + 1]; /* of each bucket among these */
 };
 
@@ -222,7 +222,7 @@
 {
     uint32_t next[MEMBERSHIP_BUCKETS];
     memset(order->first, 0, sizeof order->first);
-    order->places = memory_zero(membership->count + 1, sizeof *order->places);
+    order->indexes = memory_zero(membership->count + 1, sizeof *order->indexes);
     for (uint32_t i = 0; i < membership->count; i++)
         order->first[bucket_of(&membership->members[i], region) + 1]++;
     for (uint32_t bucket = 0; bucket < MEMBERSHIP_BUCKETS; bucket++) {
@@ -230,22 +230,22 @@
         next[bucket] = order->first[bucket];
     }
     for (uint32_t i = 0; i < membership->count; i++)
-        order->places[next[bucket_of(&membership->members[i], region)]++] = i;
+        order->indexes[next[bucket_of(&membership->members[i], region)]++] = i;
 }
 
-static void add_bucket(struct membership *membership, struct table_answer *answer,
+static void add_bucket(struct membership *membership, struct sync_answer *answer,
                        const struct bucket_order *order, uint32_t bucket)
 {
     for (uint32_t i = order->first[bucket]; i < order->first[bucket + 1] && answer->pages; i++)
-        add_to_answer(membership, answer, &membership->members[order->places[i]]);
+        append_to_answer(membership, answer, &membership->members[order->indexes[i]]);
 }
 
 /*
- * The asker's region comes first. Whole buckets are sent, from one taken by chance on: those need
- * not be sent again, whoever is asked next.
+ * The requester's region comes first. Whole buckets are sent, from one taken by chance on: those
+ * need not be sent again, whoever is requested next.
  */
-static void add_differences(struct membership *membership, struct table_answer *answer,
-                            const char *region, const uint32_t *own, const uint32_t *asked)
+static void add_differences(struct membership *membership, struct sync_answer *answer,
+                            const char *region, const uint32_t *own, const uint32_t *remote)
 {
     struct bucket_order order;
     uint32_t start = (uint32_t)random_below(&membership->random, MEMBERSHIP_REGION_BUCKETS);
@@ -253,25 +253,25 @@
     for (uint32_t half = 0; half < MEMBERSHIP_BUCKETS; half += MEMBERSHIP_REGION_BUCKETS) {
         for (uint32_t i = 0; i < MEMBERSHIP_REGION_BUCKETS; i++) {
             uint32_t bucket = half + (start + i) % MEMBERSHIP_REGION_BUCKETS;
-            if (own[bucket] != asked[bucket])
+            if (own[bucket] != remote[bucket])
                 add_bucket(membership, answer, &order, bucket);
         }
     }
-    free(order.places);
+    free(order.indexes);
 }
 
-void membership_answer_table(struct membership *membership, uint32_t address,
-                             const uint32_t *digests, size_t count, uint64_t now)
+void membership_answer_sync(struct membership *membership, uint32_t address,
+                            const uint32_t *digests, size_t count, uint64_t now)
 {
     uint32_t own[MEMBERSHIP_BUCKETS];
-    struct table_answer answer = {.address = address, .pages = allow_pages(membership, now)};
-    const struct member_state *asker = membership_lookup(membership, address);
-    if (count != MEMBERSHIP_BUCKETS || !asker)
+    struct sync_answer answer = {.address = address, .pages = take_page_allowance(membership, now)};
+    const struct member_state *requester = membership_lookup(membership, address);
+    if (count != MEMBERSHIP_BUCKETS || !requester)
         return;
-    write_digests(membership, asker->region, own);
+    write_digests(membership, requester->region, own);
     membership_message_begin(membership, &answer.page);
-    add_differences(membership, &answer, asker->region, own, digests);
-    uint32_t bucket = bucket_of(&membership->self, asker->region);
+    add_differences(membership, &answer, requester->region, own, digests);
+    uint32_t bucket = bucket_of(&membership->self, requester->region);
     if (answer.page.message.n_members || own[bucket] != digests[bucket])
         send_page(membership, &answer.page, address);
 }
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /** Members that are asked to probe for this node. */
-#define HELPERS 3
+#define INDIRECT_PROBES 3
 /** Dead members and seeds are probed besides, one in so many periods. */
-#define DEAD_PERIODS 4
+#define LOST_PROBE_PERIODS 4
 /** A node that hears from nobody doubts itself before it doubts others, for so long. */
-#define SELF_DOUBT_US 3000000
+#define ISOLATION_GRACE_US 3000000
 
 static void send_ping(struct membership *membership, uint32_t address, uint32_t number,
                       uint32_t ping_for)
@@ -28,7 +28,7 @@
     membership_message_send(membership, &message, address);
 }
 
-static uint32_t next_number(struct membership *membership)
+static uint32_t next_probe_number(struct membership *membership)
 {
     if (++membership->last_number == 0)
         membership->last_number = 1;
@@ -38,19 +38,19 @@
 /* --- messages ------------------------------------------------------------------------------------
  */
 
-static void probe_for_another(struct membership *membership, uint32_t requester,
-                              const Shuntrun__MemberMessage *message)
+static void relay_probe(struct membership *membership, uint32_t requester,
+                        const Shuntrun__MemberMessage *message)
 {
-    struct relay *relay = &membership->relays[membership->next_relay++ % MEMBERSHIP_RELAYS];
-    *relay = (struct relay){next_number(membership), requester, message->ping};
+    struct relay *relay = &membership->relays[membership->next_relay++ % MEMBERSHIP_MAX_RELAYS];
+    *relay = (struct relay){next_probe_number(membership), requester, message->ping};
     send_ping(membership, message->ping_for, relay->number, 0);
 }
 
-static void on_acknowledged(struct membership *membership, uint32_t number)
+static void receive_acknowledgement(struct membership *membership, uint32_t number)
 {
     if (number == membership->probe.number)
         membership->probe.acknowledged = true;
-    for (uint32_t i = 0; i < MEMBERSHIP_RELAYS; i++) {
+    for (uint32_t i = 0; i < MEMBERSHIP_MAX_RELAYS; i++) {
         struct relay *relay = &membership->relays[i];
         if (relay->number != number)
             continue;
@@ -59,13 +59,13 @@
     }
 }
 
-void membership_on_probe(struct membership *membership, uint32_t from,
-                         const Shuntrun__MemberMessage *message)
+void membership_receive_probe(struct membership *membership, uint32_t from,
+                              const Shuntrun__MemberMessage *message)
 {
     if (message->acknowledged)
-        on_acknowledged(membership, message->acknowledged);
+        receive_acknowledgement(membership, message->acknowledged);
     if (message->ping && message->ping_for && message->ping_for != membership->self.address)
-        probe_for_another(membership, from, message);
+        relay_probe(membership, from, message);
     else if (message->ping)
         send_acknowledgement(membership, from, message->ping);
 }
@@ -78,8 +78,8 @@
     struct member_state kept = membership->members[left];
     if (left == right)
         return;
-    membership_place(membership, left, &membership->members[right]);
-    membership_place(membership, right, &kept);
+    membership_set_at(membership, left, &membership->members[right]);
+    membership_set_at(membership, right, &kept);
 }
 
 /* Each pass over the members is in another order: each is probed by somebody in nearly each period,
@@ -87,8 +87,8 @@
 static void shuffle(struct membership *membership)
 {
     for (uint32_t i = membership->count; i > 1; i--) {
-        uint32_t place = (uint32_t)random_below(&membership->random, i);
-        swap(membership, i - 1, place);
+        uint32_t index = (uint32_t)random_below(&membership->random, i);
+        swap(membership, i - 1, index);
     }
 }
 
@@ -101,7 +101,8 @@
             membership->next_target = 0;
         }
         struct member_state *member = &membership->members[membership->next_target++];
-        bool heard = member->heard_at && now < member->heard_at + membership->settings.period_us;
+        bool heard =
+            member->heard_at && now < member->heard_at + membership->settings.probe_period_us;
         if (member_is_alive(member) && (!heard || member->health == MEMBER_SUSPECT))
             return member;
     }
@@ -115,27 +116,28 @@
     if (!target)
         return;
     membership->probe.target = target->address;
-    membership->probe.number = next_number(membership);
+    membership->probe.number = next_probe_number(membership);
     send_ping(membership, target->address, membership->probe.number, 0);
 }
 
-static bool is_answered(const struct membership *membership)
+static bool probe_is_answered(const struct membership *membership)
 {
     const struct probe *probe = &membership->probe;
     const struct member_state *member = membership_lookup(membership, probe->target);
     return probe->acknowledged || !member || member->heard_at >= probe->began;
 }
 
-static void ask_helpers(struct membership *membership)
+static void send_indirect_probes(struct membership *membership)
 {
     struct probe *probe = &membership->probe;
-    probe->relayed = true;
-    for (uint32_t asked = 0, tried = 0; asked < HELPERS && tried < 4 * HELPERS; tried++) {
-        uint64_t place = random_below(&membership->random, membership->count);
-        const struct member_state *helper = &membership->members[place];
-        if (!member_is_trusted(helper) || helper->address == probe->target)
+    probe->indirect = true;
+    for (uint32_t asked = 0, tried = 0; asked < INDIRECT_PROBES && tried < 4 * INDIRECT_PROBES;
+         tried++) {
+        uint64_t index = random_below(&membership->random, membership->count);
+        const struct member_state *relay_member = &membership->members[index];
+        if (!member_is_healthy(relay_member) || relay_member->address == probe->target)
             continue;
-        send_ping(membership, helper->address, probe->number, probe->target);
+        send_ping(membership, relay_member->address, probe->number, probe->target);
         asked++;
     }
 }
@@ -144,13 +146,13 @@
 static bool is_isolated(const struct membership *membership, uint64_t now)
 {
     return membership->heard_at < membership->probe.began &&
-           now < membership->heard_at + SELF_DOUBT_US;
+           now < membership->heard_at + ISOLATION_GRACE_US;
 }
 
 static void end_probe(struct membership *membership, uint64_t now)
 {
     struct probe *probe = &membership->probe;
-    if (!probe->target || is_answered(membership) || is_isolated(membership, now))
+    if (!probe->target || probe_is_answered(membership) || is_isolated(membership, now))
         return;
     struct member_state *member = membership_lookup(membership, probe->target);
     if (member->health == MEMBER_ALIVE)
@@ -163,28 +165,28 @@
     return member && member_is_alive(member);
 }
 
-static void ask_seeds(struct membership *membership, bool all)
+static void request_sync_from_seeds(struct membership *membership, bool all)
 {
-    uint64_t turn = membership->periods / DEAD_PERIODS;
+    uint64_t turn = membership->periods / LOST_PROBE_PERIODS;
     for (uint32_t i = 0; i < membership->seed_count; i++)
         if (all || (turn % membership->seed_count == i &&
                     !is_known_alive(membership, membership->seeds[i])))
-            membership_ask_table(membership, membership->seeds[i]);
+            membership_request_sync(membership, membership->seeds[i]);
 }
 
-static void ask_a_dead_one(struct membership *membership)
+static void probe_dead_member(struct membership *membership)
 {
     uint64_t first = random_below(&membership->random, membership->count);
     for (uint32_t i = 0; i < membership->count; i++) {
         const struct member_state *member = &membership->members[(first + i) % membership->count];
         if (member_is_alive(member))
             continue;
-        membership_tell(membership, member->address);
+        membership_send_update(membership, member->address);
         return;
     }
 }
 
-static bool knows_nobody(const struct membership *membership)
+static bool knows_no_live_member(const struct membership *membership)
 {
     for (uint32_t i = 0; i < membership->count; i++)
         if (member_is_alive(&membership->members[i]))
@@ -193,23 +195,23 @@
 }
 
 /* Now and then a node looks for those that were lost. */
-static void look_for_others(struct membership *membership)
+static void probe_lost_members(struct membership *membership)
 {
-    if (membership->periods % DEAD_PERIODS != 0)
+    if (membership->periods % LOST_PROBE_PERIODS != 0)
         return;
-    ask_seeds(membership, false);
+    request_sync_from_seeds(membership, false);
     if (membership->count)
-        ask_a_dead_one(membership);
+        probe_dead_member(membership);
 }
 
 /* Seeds may start a moment later than this node: they are asked until one has answered. */
-static bool find_anybody(struct membership *membership, uint64_t now)
+static bool contact_seeds_if_alone(struct membership *membership, uint64_t now)
 {
-    if (!knows_nobody(membership))
+    if (!knows_no_live_member(membership))
         return true;
-    if (now >= membership->next_question) {
-        membership->next_question = now + membership->settings.question_us;
-        ask_seeds(membership, true);
+    if (now >= membership->next_seed_request) {
+        membership->next_seed_request = now + membership->settings.seed_retry_us;
+        request_sync_from_seeds(membership, true);
     }
     return false;
 }
@@ -217,16 +219,16 @@
 void membership_probe_tick(struct membership *membership, uint64_t now)
 {
     struct probe *probe = &membership->probe;
-    if (!find_anybody(membership, now) && !membership->count)
+    if (!contact_seeds_if_alone(membership, now) && !membership->count)
         return;
-    if (probe->target && !probe->relayed && now >= probe->began + membership->settings.direct_us &&
-        !is_answered(membership))
-        ask_helpers(membership);
+    if (probe->target && !probe->indirect &&
+        now >= probe->began + membership->settings.ack_timeout_us && !probe_is_answered(membership))
+        send_indirect_probes(membership);
     if (now < membership->next_period)
         return;
     end_probe(membership, now);
-    membership->next_period = now + membership->settings.period_us;
+    membership->next_period = now + membership->settings.probe_period_us;
     membership->periods++;
     begin_probe(membership, now);
-    look_for_others(membership);
+    probe_lost_members(membership);
 }
--- a/src/core/news_targets.c
+++ b/src/core/news_targets.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 /** Gateways that a gateway tells. */
-#define GATEWAYS_TOLD 4
+#define GATEWAY_FANOUT 4
 /** Gateways that are responsible for a loader. */
-#define RESPONSIBLE 2
+#define GATEWAYS_PER_LOADER 2
 
 struct target_list {
     uint32_t *addresses;
@@ -26,38 +26,39 @@
     uint32_t seen = 0;
     for (uint32_t i = 0; i < membership_count(membership); i++) {
         const struct member_state *member = membership_at(membership, i);
-        if (member->role != MEMBER_GATEWAY || !member_is_trusted(member) ||
+        if (member->role != MEMBER_GATEWAY || !member_is_healthy(member) ||
             member->operator_revision >= revision)
             continue;
         seen++;
-        if (list->count < GATEWAYS_TOLD) {
+        if (list->count < GATEWAY_FANOUT) {
             add(list, member->address);
             continue;
         }
         uint64_t place = random_below(random, seen);
-        if (place < GATEWAYS_TOLD)
+        if (place < GATEWAY_FANOUT)
             list->addresses[place] = member->address;
     }
 }
 
 /* Gateways of the loader's own region go before all others. */
-static uint64_t weight_of(const struct member_state *gateway, const struct member_state *loader)
+static uint64_t rendezvous_weight(const struct member_state *gateway,
+                                  const struct member_state *loader)
 {
     uint64_t weight = hash_pair(gateway->address, loader->address) >> 1;
-    bool near = strcmp(gateway->region, loader->region) == 0;
-    return near ? weight | (1ULL << 63) : weight;
+    bool same_region = strcmp(gateway->region, loader->region) == 0;
+    return same_region ? weight | (1ULL << 63) : weight;
 }
 
 static bool is_responsible(struct membership *membership, const struct member_state *loader)
 {
-    uint64_t own = weight_of(membership_self(membership), loader);
-    uint32_t before = 0;
-    for (uint32_t i = 0; i < membership_count(membership) && before < RESPONSIBLE; i++) {
+    uint64_t own = rendezvous_weight(membership_self(membership), loader);
+    uint32_t ahead = 0;
+    for (uint32_t i = 0; i < membership_count(membership) && ahead < GATEWAYS_PER_LOADER; i++) {
         const struct member_state *member = membership_at(membership, i);
-        before += member->role == MEMBER_GATEWAY && member_is_trusted(member) &&
-                  weight_of(member, loader) > own;
+        ahead += member->role == MEMBER_GATEWAY && member_is_healthy(member) &&
+                 rendezvous_weight(member, loader) > own;
     }
-    return before < RESPONSIBLE;
+    return ahead < GATEWAYS_PER_LOADER;
 }
 
 static void add_loaders(struct membership *membership, uint64_t revision, struct target_list *list)
--- a/src/core/reader_role.h
+++ b/src/core/reader_role.h
@@ -12,23 +12,23 @@
 #include "core/membership.h"
 
 enum reader_duty {
-    READER_RESTS,     /**< others tell this node */
-    READER_STANDS_BY, /**< it reads, and leaves it to another one to be quick */
-    READER_LEADS,     /**< it tells its region as soon as it can */
+    READER_INACTIVE, /**< others tell this node */
+    READER_STANDBY,  /**< it reads, and leaves it to another one to be quick */
+    READER_LEADER,   /**< it tells its region as soon as it can */
 };
 
 struct reader_role {
     enum reader_duty duty;
-    uint64_t unsound_since;  /**< no reader of the region got answers since then; 0: one does */
-    uint64_t needless_since; /**< this node need not read since then; 0: it must */
-    uint64_t first_update;   /**< time of the first decision, 0: none yet */
-    uint64_t contact_at;     /**< this node knew another gateway for the first time, 0: not yet */
-    bool told_sound;         /**< what the other gateways were last told of the store */
+    uint64_t unhealthy_since;  /**< no reader of the region got answers since then; 0: one does */
+    uint64_t unneeded_since;   /**< this node need not read since then; 0: it must */
+    uint64_t first_update_at;  /**< time of the first decision, 0: none yet */
+    uint64_t first_contact_at; /**< this node knew another gateway for the first time, 0: not yet */
+    bool announced_healthy;    /**< what the other gateways were last told of the store */
 };
 
 /**
  * \brief Decide anew, from who lives and what readers said of the store.
- * A node that has just begun looks for others first; see may_read_whole() for those that know
+ * A node that has just begun looks for others first; see may_read_snapshot() for those that know
  * nothing yet.
  */
 enum reader_duty reader_role_update(struct reader_role *role, struct membership *membership,
@@ -38,13 +38,13 @@
  * together, as changes come in bursts and every call is paid for. \param bound_ms time in which a
  * back end that leaves must be known
  */
-uint32_t reader_role_gather_ms(enum reader_duty duty, uint64_t bound_ms);
+uint32_t reader_role_batch_delay_ms(enum reader_duty duty, uint64_t bound_ms);
 /**
  * \brief Others have to know at once whether they can rely on this reader.
  * \return whether they are to be told now that the store is `sound`
  */
-bool reader_role_must_tell(struct reader_role *role, bool sound);
+bool reader_role_must_announce(struct reader_role *role, bool healthy);
 /** \return whether a gateway of the own region, or else of any, reads the store and gets answers */
-bool reader_role_somebody_is_sound(struct membership *membership);
+bool reader_role_any_reader_is_healthy(struct membership *membership);
 
 #endif
--- a/src/core/relay_plan.c
+++ b/src/core/relay_plan.c
@@ -49,7 +49,7 @@
 
 static bool may_relay(const struct member_state *member, const char *region)
 {
-    return member->role == MEMBER_GATEWAY && member_is_trusted(member) && !member->draining &&
+    return member->role == MEMBER_GATEWAY && member_is_healthy(member) && !member->draining &&
            strcmp(member->region, region) == 0;
 }
 
@@ -114,7 +114,7 @@
     for (uint32_t i = 0; i < membership_count(membership); i++) {
         const struct member_state *member = membership_at(membership, i);
         uint64_t weight = hash_pair(plan->rollout ^ plan->self, member->address);
-        if (member->role != MEMBER_LOADER || !member_is_trusted(member) ||
+        if (member->role != MEMBER_LOADER || !member_is_healthy(member) ||
             strcmp(member->region, plan->region) != 0)
             continue;
         uint32_t worse = best[0] < best[1] ? 0 : 1;
--- a/src/core/state_cache.c
+++ b/src/core/state_cache.c
@@ -10,7 +10,7 @@
     struct state_item **items; /* sorted by key */
     uint32_t count;
     uint64_t revision;
-    uint64_t forgotten; /* greatest revision of an item that was trimmed */
+    uint64_t trimmed_revision; /* greatest revision of an item that was trimmed */
     /* What went between these two is not known: a snapshot led from one to the other. */
     uint64_t gap_begin;
     uint64_t gap_end;
@@ -39,7 +39,7 @@
 }
 
 /* Place of a key, or where it would stand. */
-static uint32_t place_of(const struct state_cache *cache, const char *key, bool *found)
+static uint32_t find_index(const struct state_cache *cache, const char *key, bool *found)
 {
     uint32_t low = 0, high = cache->count;
     *found = false;
@@ -58,18 +58,18 @@
     return low;
 }
 
-static struct state_item *item_for(struct state_cache *cache, const char *key)
+static struct state_item *find_or_add_item(struct state_cache *cache, const char *key)
 {
     bool found;
-    uint32_t place = place_of(cache, key, &found);
+    uint32_t index = find_index(cache, key, &found);
     if (found)
-        return cache->items[place];
+        return cache->items[index];
     struct state_item *item = memory_zero(1, sizeof *item);
     item->key = memory_string(key);
     cache->items = memory_resize(cache->items, (cache->count + 1) * sizeof *cache->items);
-    memmove(cache->items + place + 1, cache->items + place,
-            (cache->count - place) * sizeof *cache->items);
-    cache->items[place] = item;
+    memmove(cache->items + index + 1, cache->items + index,
+            (cache->count - index) * sizeof *cache->items);
+    cache->items[index] = item;
     cache->count++;
     return item;
 }
@@ -77,7 +77,7 @@
 bool state_cache_put(struct state_cache *cache, const char *key, const char *value, size_t size,
                      uint64_t revision, uint64_t learned)
 {
-    struct state_item *item = item_for(cache, key);
+    struct state_item *item = find_or_add_item(cache, key);
     item->seen = true;
     if (revision <= item->revision)
         return false;
@@ -95,8 +95,8 @@
     return true;
 }
 
-static void set_gone(struct state_cache *cache, struct state_item *item, uint64_t revision,
-                     const struct state_loss *loss)
+static void mark_gone(struct state_cache *cache, struct state_item *item, uint64_t revision,
+                      const struct state_removal *loss)
 {
     free(item->value);
     item->value = NULL;
@@ -109,16 +109,16 @@
 }
 
 bool state_cache_remove(struct state_cache *cache, const char *key, uint64_t revision,
-                        const struct state_loss *loss)
+                        const struct state_removal *loss)
 {
-    struct state_item *item = item_for(cache, key);
+    struct state_item *item = find_or_add_item(cache, key);
     if (revision <= item->revision)
         return false;
-    set_gone(cache, item, revision, loss);
+    mark_gone(cache, item, revision, loss);
     return true;
 }
 
-void state_cache_reach(struct state_cache *cache, uint64_t revision)
+void state_cache_advance(struct state_cache *cache, uint64_t revision)
 {
     if (revision > cache->revision)
         cache->revision = revision;
@@ -137,25 +137,25 @@
 }
 
 /* Of two gaps the older one is as good as forgotten. */
-static void note_gap(struct state_cache *cache, uint64_t revision)
+static void record_gap(struct state_cache *cache, uint64_t revision)
 {
     if (revision <= cache->revision)
         return;
-    if (cache->gap_end > cache->forgotten)
-        cache->forgotten = cache->gap_end;
+    if (cache->gap_end > cache->trimmed_revision)
+        cache->trimmed_revision = cache->gap_end;
     cache->gap_begin = cache->revision;
     cache->gap_end = revision;
 }
 
 void state_cache_snapshot_end(struct state_cache *cache, const char *prefix, uint64_t revision,
-                              const struct state_loss *loss)
+                              const struct state_removal *loss)
 {
     for (uint32_t i = 0; i < cache->count; i++) {
         struct state_item *item = cache->items[i];
         if (has_prefix(item, prefix) && !item->seen && !item->gone && item->revision <= revision)
-            set_gone(cache, item, revision, loss);
+            mark_gone(cache, item, revision, loss);
     }
-    note_gap(cache, revision);
+    record_gap(cache, revision);
 }
 
 uint64_t state_cache_revision(const struct state_cache *cache)
@@ -166,8 +166,8 @@
 const struct state_item *state_cache_find(const struct state_cache *cache, const char *key)
 {
     bool found;
-    uint32_t place = place_of(cache, key, &found);
-    return found && !cache->items[place]->gone ? cache->items[place] : NULL;
+    uint32_t index = find_index(cache, key, &found);
+    return found && !cache->items[index]->gone ? cache->items[index] : NULL;
 }
 
 uint32_t state_cache_count(const struct state_cache *cache)
@@ -180,20 +180,20 @@
     return cache->items[index];
 }
 
-bool state_cache_remembers(const struct state_cache *cache, uint64_t revision)
+bool state_cache_retains_since(const struct state_cache *cache, uint64_t revision)
 {
-    return revision >= cache->forgotten;
+    return revision >= cache->trimmed_revision;
 }
 
-bool state_cache_covers(const struct state_cache *cache, uint64_t revision)
+bool state_cache_has_delta_for(const struct state_cache *cache, uint64_t revision)
 {
     bool in_gap = revision > cache->gap_begin && revision < cache->gap_end;
-    return state_cache_remembers(cache, revision) && !in_gap;
+    return state_cache_retains_since(cache, revision) && !in_gap;
 }
 
-bool state_cache_continues(const struct state_cache *cache, uint64_t revision)
+bool state_cache_has_delta_since(const struct state_cache *cache, uint64_t revision)
 {
-    return state_cache_remembers(cache, revision) && revision >= cache->gap_end;
+    return state_cache_retains_since(cache, revision) && revision >= cache->gap_end;
 }
 
 void state_cache_trim(struct state_cache *cache, uint64_t before)
@@ -202,8 +202,8 @@
     for (uint32_t i = 0; i < cache->count; i++) {
         struct state_item *item = cache->items[i];
         if (item->gone && item->learned < before) {
-            if (item->revision > cache->forgotten)
-                cache->forgotten = item->revision;
+            if (item->revision > cache->trimmed_revision)
+                cache->trimmed_revision = item->revision;
             item_free(item);
             continue;
         }
--- a/src/core/state_cache.h
+++ b/src/core/state_cache.h
@@ -20,12 +20,13 @@
     uint64_t revision;
     bool gone;
     uint64_t learned; /**< time at which a node first knew of it */
-    bool from_outage; /**< the store may have lost the item in an outage, see struct state_loss */
-    bool seen;        /**< by the snapshot that is being taken in */
+    bool
+        from_outage; /**< the store may have lost the item in an outage, see struct state_removal */
+    bool seen;       /**< by the snapshot that is being taken in */
 };
 
 /** What is known of when an item went. */
-struct state_loss {
+struct state_removal {
     uint64_t learned; /**< time at which a node first knew of it; at the latest then it went */
     bool from_outage; /**< it may have been in an outage of the store: then whatever the item stood
                          for may live, and come back */
@@ -46,15 +47,15 @@
 bool state_cache_put(struct state_cache *cache, const char *key, const char *value, size_t size,
                      uint64_t revision, uint64_t learned);
 bool state_cache_remove(struct state_cache *cache, const char *key, uint64_t revision,
-                        const struct state_loss *loss);
+                        const struct state_removal *loss);
 /** \brief All changes up to this revision are in. */
-void state_cache_reach(struct state_cache *cache, uint64_t revision);
+void state_cache_advance(struct state_cache *cache, uint64_t revision);
 
 /** \brief A whole set of the items under a prefix follows as state_cache_put() calls. */
 void state_cache_snapshot_begin(struct state_cache *cache, const char *prefix);
 /** \brief Items under the prefix that did not come are gone, unless newer than `revision`. */
 void state_cache_snapshot_end(struct state_cache *cache, const char *prefix, uint64_t revision,
-                              const struct state_loss *loss);
+                              const struct state_removal *loss);
 
 /** \return the revision up to which all changes are in, 0 before the first snapshot */
 uint64_t state_cache_revision(const struct state_cache *cache);
@@ -62,14 +63,14 @@
 uint32_t state_cache_count(const struct state_cache *cache);
 const struct state_item *state_cache_at(const struct state_cache *cache, uint32_t index);
 /** \return whether changes since `revision` of items that never go are all here */
-bool state_cache_remembers(const struct state_cache *cache, uint64_t revision);
+bool state_cache_retains_since(const struct state_cache *cache, uint64_t revision);
 /**
  * \return whether changes since `revision` are all here, for a copy that is exactly that old; else
  * only the whole can be given. A copy that began with the whole has no removals from before it.
  */
-bool state_cache_covers(const struct state_cache *cache, uint64_t revision);
+bool state_cache_has_delta_for(const struct state_cache *cache, uint64_t revision);
 /** \return whether changes since `revision` are all here, for copies that are that old or newer */
-bool state_cache_continues(const struct state_cache *cache, uint64_t revision);
+bool state_cache_has_delta_since(const struct state_cache *cache, uint64_t revision);
 /** \brief Forget items that are gone since before `before`. */
 void state_cache_trim(struct state_cache *cache, uint64_t before);
 
--- a/src/core/store_watch.h
+++ b/src/core/store_watch.h
@@ -30,15 +30,16 @@
 
 /** How a call ended that had no answer. */
 enum store_failure {
-    STORE_CUT,    /**< the connection broke: the store may do that and work on */
-    STORE_SILENT, /**< no answer came in time: the store was away when the call began, or later */
-    STORE_AWAY,   /**< it was not reached, or answered that it cannot serve */
+    STORE_DISCONNECTED, /**< the connection broke: the store may do that and work on */
+    STORE_TIMED_OUT,   /**< no answer came in time: the store was away when the call began, or later
+                        */
+    STORE_UNAVAILABLE, /**< it was not reached, or answered that it cannot serve */
 };
 
 /** \brief Begin to read. \param known revision up to which all is known from others, 0: none */
-void store_watch_begin(struct store_watch *watch, uint64_t known, uint64_t now);
+void store_watch_init(struct store_watch *watch, uint64_t known, uint64_t now);
 /** \brief Others told of all changes up to here: the next watch goes on from there. */
-void store_watch_learn(struct store_watch *watch, uint64_t known);
+void store_watch_advance(struct store_watch *watch, uint64_t known);
 struct store_call store_watch_next_call(const struct store_watch *watch);
 /** \brief A call had no answer. \return time until the next one, ms */
 uint32_t store_watch_failed(struct store_watch *watch, enum store_failure failure);
@@ -46,15 +47,16 @@
 void store_watch_history_lost(struct store_watch *watch);
 /**
  * \brief An answer came; all changes up to `revision` are known, 0: not all of the whole is in.
- * Ask store_watch_loss() before, for what the answer says is gone.
+ * Ask store_watch_removal() before, for what the answer says is gone.
  */
 void store_watch_answered(struct store_watch *watch, uint64_t revision, uint64_t now);
 /**
  * \brief What is known of when the items went that the present answer lacks.
- * \param own_gap this node heard nothing for a while by its own fault
+ * \param own_pause this node heard nothing for a while by its own fault
  */
-struct state_loss store_watch_loss(const struct store_watch *watch, bool own_gap, uint64_t now);
+struct state_removal store_watch_removal(const struct store_watch *watch, bool own_pause,
+                                         uint64_t now);
 /** \return whether the last call had its answer, or waits for it without a failure before */
-bool store_watch_is_sound(const struct store_watch *watch);
+bool store_watch_is_healthy(const struct store_watch *watch);
 
 #endif
--- a/src/core/version_bounds.c
+++ b/src/core/version_bounds.c
@@ -11,12 +11,12 @@
     return NULL;
 }
 
-void version_bounds_name(struct version_bounds *bounds, const char *model, uint64_t version,
-                         uint64_t enforced_at)
+void version_bounds_add(struct version_bounds *bounds, const char *model, uint64_t version,
+                        uint64_t enforced_at)
 {
     struct model_versions *versions = find(bounds, model);
     if (!versions) {
-        if (bounds->count == VERSION_BOUNDS_MODELS)
+        if (bounds->count == VERSION_BOUNDS_MAX_MODELS)
             return;
         versions = &bounds->models[bounds->count++];
         memset(versions, 0, sizeof *versions);
@@ -24,8 +24,8 @@
     }
     if (versions->count && version <= versions->bounds[0].version)
         return;
-    uint32_t kept =
-        versions->count < VERSION_BOUNDS_VERSIONS ? versions->count : VERSION_BOUNDS_VERSIONS - 1;
+    uint32_t kept = versions->count < VERSION_BOUNDS_MAX_VERSIONS ? versions->count
+                                                                  : VERSION_BOUNDS_MAX_VERSIONS - 1;
     memmove(&versions->bounds[1], &versions->bounds[0], kept * sizeof versions->bounds[0]);
     versions->bounds[0] = (struct version_bound){version, enforced_at};
     versions->count = kept + 1;
@@ -37,7 +37,8 @@
     return versions && versions->count ? versions->bounds[0].version : 0;
 }
 
-uint64_t version_bounds_least(const struct version_bounds *bounds, const char *model, uint64_t now)
+uint64_t version_bounds_minimum(const struct version_bounds *bounds, const char *model,
+                                uint64_t now)
 {
     const struct model_versions *versions = find(bounds, model);
     for (uint32_t i = 0; versions && i < versions->count; i++)
--- a/src/core/version_bounds.h
+++ b/src/core/version_bounds.h
@@ -8,9 +8,9 @@
 #include <stdint.h>
 
 /** The version that a model has until the operator names one. */
-#define FIRST_VERSION 1
-#define VERSION_BOUNDS_MODELS 16
-#define VERSION_BOUNDS_VERSIONS 8
+#define INITIAL_VERSION 1
+#define VERSION_BOUNDS_MAX_MODELS 16
+#define VERSION_BOUNDS_MAX_VERSIONS 8
 #define VERSION_MODEL_SIZE 64
 
 struct version_bound {
@@ -20,21 +20,22 @@
 
 struct model_versions {
     char model[VERSION_MODEL_SIZE];
-    struct version_bound bounds[VERSION_BOUNDS_VERSIONS]; /**< newest first */
+    struct version_bound bounds[VERSION_BOUNDS_MAX_VERSIONS]; /**< newest first */
     uint32_t count;
 };
 
 struct version_bounds {
-    struct model_versions models[VERSION_BOUNDS_MODELS];
+    struct model_versions models[VERSION_BOUNDS_MAX_MODELS];
     uint32_t count;
 };
 
 /** \brief A version was named; older or known ones are ignored. */
-void version_bounds_name(struct version_bounds *bounds, const char *model, uint64_t version,
-                         uint64_t enforced_at);
+void version_bounds_add(struct version_bounds *bounds, const char *model, uint64_t version,
+                        uint64_t enforced_at);
 /** \return the newest version that was named; 0: none was */
 uint64_t version_bounds_newest(const struct version_bounds *bounds, const char *model);
 /** \return the least version that may begin work now; 0: any */
-uint64_t version_bounds_least(const struct version_bounds *bounds, const char *model, uint64_t now);
+uint64_t version_bounds_minimum(const struct version_bounds *bounds, const char *model,
+                                uint64_t now);
 
 #endif
--- a/src/core/wake_watch.h
+++ b/src/core/wake_watch.h
@@ -11,14 +11,14 @@
 #include <stdint.h>
 
 /** Two readings of the clocks, one after the other, differ by less. */
-#define WAKE_SUSPENDED_LEAST_US ((uint64_t)10000)
+#define WAKE_SUSPENDED_MIN_US ((uint64_t)10000)
 /** Time between two looks after which the process stood still; they are 0.1 s apart at most. */
-#define WAKE_STOOD_STILL_US ((uint64_t)1000000)
+#define WAKE_STALLED_MIN_US ((uint64_t)1000000)
 /** After a pause of this length peers may have given up connections, and what others told is old:
  *  the platform's store is asked anew, and connections that were idle are not used. */
-#define WAKE_LONG_US ((uint64_t)1000000)
+#define WAKE_LONG_PAUSE_US ((uint64_t)1000000)
 
-enum wake_kind { WAKE_NONE, WAKE_STOOD_STILL, WAKE_SUSPENDED };
+enum wake_kind { WAKE_NONE, WAKE_STALLED, WAKE_SUSPENDED };
 
 /** A pause that is over. */
 struct wake {
@@ -32,8 +32,8 @@
 };
 
 /** \brief Look at both clocks. \return the pause since the last look, if there was one */
-static inline struct wake wake_watch_look(struct wake_watch *watch, uint64_t elapsed_us,
-                                          uint64_t timer_us)
+static inline struct wake wake_watch_check(struct wake_watch *watch, uint64_t elapsed_us,
+                                           uint64_t timer_us)
 {
     struct wake_watch last = *watch;
     *watch = (struct wake_watch){elapsed_us, timer_us};
@@ -41,17 +41,17 @@
         return (struct wake){WAKE_NONE, 0};
     uint64_t passed = elapsed_us - last.elapsed_us;
     uint64_t counted = timer_us - last.timer_us;
-    if (passed >= counted + WAKE_SUSPENDED_LEAST_US)
+    if (passed >= counted + WAKE_SUSPENDED_MIN_US)
         return (struct wake){WAKE_SUSPENDED, passed - counted};
-    if (passed > WAKE_STOOD_STILL_US)
-        return (struct wake){WAKE_STOOD_STILL, passed};
+    if (passed > WAKE_STALLED_MIN_US)
+        return (struct wake){WAKE_STALLED, passed};
     return (struct wake){WAKE_NONE, 0};
 }
 
 /** \return the word for logs */
 static inline const char *wake_kind_name(enum wake_kind kind)
 {
-    return kind == WAKE_SUSPENDED ? "suspended" : kind == WAKE_STOOD_STILL ? "stood-still" : "none";
+    return kind == WAKE_SUSPENDED ? "suspended" : kind == WAKE_STALLED ? "stood-still" : "none";
 }
 
 #endif
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -76,7 +76,7 @@
 static void on_woke(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
-    if (wake->pause_us > WAKE_LONG_US)
+    if (wake->pause_us > WAKE_LONG_PAUSE_US)
         upstream_close_idle(edge);
     edge_client_look_at_time(edge);
 }
--- a/src/edge/edge_addresses.c
+++ b/src/edge/edge_addresses.c
@@ -37,7 +37,7 @@
         add_address(list, self);
     for (uint32_t i = 0; i < membership_count(members); i++) {
         const struct member_state *member = membership_at(members, i);
-        if (member->role == MEMBER_GATEWAY && !member->draining && member_is_trusted(member) &&
+        if (member->role == MEMBER_GATEWAY && !member->draining && member_is_healthy(member) &&
             (!same_zone || strcmp(member->zone, place->zone) == 0))
             add_address(list, member);
     }
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -184,7 +184,7 @@
         named = now > bound ? now - bound / 2 : 0; /* it may be old news */
     log_event(LOG_LEVEL_INFO, "weights", "version-named",
               "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version, (now - named) / 1000);
-    version_bounds_name(&edge->versions, model, version, named + bound - VERSION_MARGIN_US);
+    version_bounds_add(&edge->versions, model, version, named + bound - VERSION_MARGIN_US);
 }
 
 void edge_take_item(struct edge *edge, const struct state_item *item)
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -38,7 +38,7 @@
 static uint64_t least_version(const struct exchange *exchange, uint64_t at)
 {
     const char *model = exchange->service->engine.model;
-    return model ? version_bounds_least(&exchange->edge->versions, model, at) : 0;
+    return model ? version_bounds_minimum(&exchange->edge->versions, model, at) : 0;
 }
 
 /* Empty engines get the newest version that was named, the first one when none was. */
@@ -46,7 +46,7 @@
 {
     const char *model = exchange->service->engine.model;
     uint64_t newest = model ? version_bounds_newest(&exchange->edge->versions, model) : 0;
-    return newest ? newest : FIRST_VERSION;
+    return newest ? newest : INITIAL_VERSION;
 }
 
 /* A begun stream goes wherever it can go on. */
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -255,7 +255,7 @@
 {
     if (!loader->table || !loader->has_origin || !loader->installer)
         return;
-    uint64_t version = FIRST_VERSION;
+    uint64_t version = INITIAL_VERSION;
     uint64_t named_at = cluster_now();
     const struct state_cache *state = loader->cluster.state;
     for (uint32_t i = 0; i < state_cache_count(state); i++) {
@@ -342,7 +342,7 @@
 static void on_woke(void *context, const struct wake *wake)
 {
     struct loader *loader = context;
-    if (wake->pause_us > WAKE_LONG_US)
+    if (wake->pause_us > WAKE_LONG_PAUSE_US)
         http_caller_abort(loader->engine);
 }
 
--- a/src/loader/wanted_versions.c
+++ b/src/loader/wanted_versions.c
@@ -66,7 +66,7 @@
         .named_at = named_at,
         .wanted_at = now,
         .store = store,
-        .recovered = version > FIRST_VERSION && now - named_at < RECENT_US,
+        .recovered = version > INITIAL_VERSION && now - named_at < RECENT_US,
     };
 }
 
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -239,8 +239,8 @@
 {
     struct membership *membership = sources->cluster->membership;
     bool knows_enough = sources->role == PIECE_ROLE_RELAY
-                            ? membership_is_settled(membership)
-                            : membership_known_share(membership) >= LOADER_SETTLED_SHARE;
+                            ? membership_is_converged(membership)
+                            : membership_known_fraction(membership) >= LOADER_SETTLED_SHARE;
     sources->settled = sources->settled || knows_enough || now >= sources->created_at + SETTLE_US;
     return sources->settled;
 }
--- a/tests/core/crash_spread_test.c
+++ b/tests/core/crash_spread_test.c
@@ -28,7 +28,7 @@
 {
     *fleet = (struct fleet){.random = {.seed = seed}};
     for (uint32_t i = 0; i < FLEET_MEMBERS; i++) {
-        fleet->seen[i] = fleet_seen_by(i, NULL);
+        fleet->seen[i] = fleet_view_of(i, NULL);
         fleet->tables[i] = crash_table_create();
     }
 }
--- a/tests/core/fleet_members.h
+++ b/tests/core/fleet_members.h
@@ -15,10 +15,10 @@
 #define FLEET_REGIONS 3
 
 /** Rate of a member's link, Mbit/s. */
-typedef uint32_t fleet_link(uint32_t index);
+typedef uint32_t fleet_link_rate(uint32_t index);
 
-static inline void fleet_ignore_send(void *context, uint32_t address,
-                                     const Shuntrun__MemberMessage *message)
+static inline void fleet_discard_message(void *context, uint32_t address,
+                                         const Shuntrun__MemberMessage *message)
 {
 }
 
@@ -27,8 +27,8 @@
     return index < FLEET_GATEWAYS ? MEMBER_GATEWAY : MEMBER_LOADER;
 }
 
-static inline void fleet_tell(struct membership *membership, uint32_t index, fleet_link *link,
-                              enum member_health health)
+static inline void fleet_update_member(struct membership *membership, uint32_t index,
+                                       fleet_link_rate *link, enum member_health health)
 {
     Shuntrun__MemberMessage message = SHUNTRUN__MEMBER_MESSAGE__INIT;
     Shuntrun__MemberNews news = SHUNTRUN__MEMBER_NEWS__INIT, *pointer = &news;
@@ -42,14 +42,14 @@
     news.link_mbit = link ? link(index) : 0;
     message.members = &pointer;
     message.n_members = 1;
-    membership_read(membership, 9999, &message, 1000);
+    membership_receive(membership, 9999, &message, 1000);
 }
 
 /** \brief The fleet as the member `self_index` sees it. \param link NULL: rates are not known */
-static inline struct membership *fleet_seen_by(uint32_t self_index, fleet_link *link)
+static inline struct membership *fleet_view_of(uint32_t self_index, fleet_link_rate *link)
 {
-    static const struct membership_settings settings = {.period_us = 1000000};
-    struct membership_driver driver = {NULL, fleet_ignore_send};
+    static const struct membership_settings settings = {.probe_period_us = 1000000};
+    struct membership_driver driver = {NULL, fleet_discard_message};
     struct member_state self = {.address = self_index + 1,
                                 .incarnation = 7,
                                 .health = MEMBER_ALIVE,
@@ -59,7 +59,7 @@
     struct membership *membership = membership_create(&settings, &self, self_index, &driver);
     for (uint32_t i = 0; i < FLEET_MEMBERS; i++)
         if (i != self_index)
-            fleet_tell(membership, i, link, MEMBER_ALIVE);
+            fleet_update_member(membership, i, link, MEMBER_ALIVE);
     return membership;
 }
 
--- a/tests/core/fleet_start_test.c
+++ b/tests/core/fleet_start_test.c
@@ -161,7 +161,7 @@
     snprintf(self.region, sizeof self.region, "region-%u", node->region);
     struct membership_driver driver = {node, on_send};
     node->membership =
-        membership_create(&membership_usual_settings, &self, node->index + 77, &driver);
+        membership_create(&membership_default_settings, &self, node->index + 77, &driver);
     for (uint32_t seed = 0; seed < SEEDS; seed++)
         membership_add_seed(node->membership, seed + 1);
 }
@@ -193,14 +193,14 @@
         if (node->membership) {
             Shuntrun__MemberMessage *message =
                 shuntrun__member_message__unpack(NULL, datagram.size, datagram.bytes);
-            membership_read(node->membership, datagram.from + 1, message, world->now);
+            membership_receive(node->membership, datagram.from + 1, message, world->now);
             shuntrun__member_message__free_unpacked(message, NULL);
         }
         free(datagram.bytes);
     }
 }
 
-static void play(struct world *world, uint64_t time_us)
+static void run_for(struct world *world, uint64_t time_us)
 {
     for (uint64_t end = world->now + time_us; world->now < end; world->now += STEP_US) {
         deliver(world);
@@ -247,20 +247,20 @@
     return a < b ? -1 : a > b;
 }
 
-struct start_figures {
+struct start_result {
     double median_s; /* time until half of the nodes know all */
     double last_s;
     double border_kb; /* a node */
     double most_kb;   /* sent by one node */
 };
 
-static struct start_figures start(uint32_t gateways, uint32_t loaders, uint64_t seed)
+static struct start_result measure_start(uint32_t gateways, uint32_t loaders, uint64_t seed)
 {
     struct world *world = world_create(gateways, loaders, seed);
     uint64_t begin = world->now;
     uint64_t *times = calloc(world->count, sizeof *times);
-    struct start_figures figures = {0};
-    play(world, 5 * SECOND / 2);
+    struct start_result figures = {0};
+    run_for(world, 5 * SECOND / 2);
     for (uint32_t i = 0; i < world->count; i++) {
         const struct node *node = &world->nodes[i];
         times[i] = node->complete_at ? node->complete_at - begin : 99 * SECOND;
@@ -280,18 +280,18 @@
     return figures;
 }
 
-static void hundreds_know_each_other_soon_after_a_start(void **state)
+static void fleet_of_353_converges_after_simultaneous_start(void **state)
 {
-    struct start_figures figures = start(149, 204, 1);
+    struct start_result figures = measure_start(149, 204, 1);
     assert_true(figures.median_s < 0.9); /* seeds begin after 0.3 s */
     assert_true(figures.last_s < 1.3);
     assert_true(figures.border_kb < 40);
     assert_true(figures.most_kb < 500);
 }
 
-static void a_thousand_know_each_other_soon_after_a_start(void **state)
+static void fleet_of_1000_converges_after_simultaneous_start(void **state)
 {
-    struct start_figures figures = start(330, 670, 2);
+    struct start_result figures = measure_start(330, 670, 2);
     assert_true(figures.median_s < 1.7);
     assert_true(figures.last_s < 2.0);
     assert_true(figures.border_kb < 60);
@@ -299,7 +299,7 @@
 }
 
 /* \return time until all living nodes know that a gateway drains */
-static uint64_t time_until_draining_is_known(struct world *world, uint32_t leaving)
+static uint64_t draining_spread_time(struct world *world, uint32_t leaving)
 {
     uint64_t begin = world->now;
     struct membership *membership = world->nodes[leaving].membership;
@@ -307,8 +307,8 @@
     membership_self_changed(membership);
     for (uint32_t i = 0; i < world->gateways; i++) /* as a gateway that stops does */
         if (i != leaving)
-            membership_tell(membership, i + 1);
-    for (uint32_t knowing = 0; knowing + 1 < world->count; play(world, STEP_US)) {
+            membership_send_update(membership, i + 1);
+    for (uint32_t knowing = 0; knowing + 1 < world->count; run_for(world, STEP_US)) {
         knowing = 0;
         for (uint32_t i = 0; i < world->count; i++)
             knowing +=
@@ -327,16 +327,16 @@
     return bytes;
 }
 
-static void a_large_fleet_is_quiet_and_hears_of_who_leaves(void **state)
+static void large_idle_fleet_has_low_traffic_and_spreads_draining(void **state)
 {
     const uint32_t gateways[] = {149, 260}, loaders[] = {204, 440};
     for (uint32_t size = 0; size < 2; size++) {
         struct world *world = world_create(gateways[size], loaders[size], 3);
-        play(world, 7 * SECOND);
+        run_for(world, 7 * SECOND);
         uint64_t before = all_bytes(world);
-        play(world, 3 * SECOND);
+        run_for(world, 3 * SECOND);
         double rate = (double)(all_bytes(world) - before) / 3 / world->count;
-        double told_s = (double)time_until_draining_is_known(world, 40) / SECOND;
+        double told_s = (double)draining_spread_time(world, 40) / SECOND;
         printf("%u members: %.0f bytes a second and node, a leaving gateway known to all after "
                "%.2f s\n",
                world->count, rate, told_s);
@@ -346,15 +346,15 @@
     }
 }
 
-static void a_region_that_was_cut_off_is_found_again(void **state)
+static void partitioned_region_rejoins(void **state)
 {
     struct world *world = world_create(149, 204, 4);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     world->cut_region = 2;
-    play(world, 12 * SECOND);
+    run_for(world, 12 * SECOND);
     assert_int_equal(alive_at(&world->nodes[2]), 70 + (2 < world->count % REGIONS));
     world->cut_region = REGIONS;
-    play(world, 8 * SECOND);
+    run_for(world, 8 * SECOND);
     for (uint32_t i = 0; i < world->count; i++)
         assert_int_equal(alive_at(&world->nodes[i]), world->count);
     world_destroy(world);
@@ -363,10 +363,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(hundreds_know_each_other_soon_after_a_start),
-        cmocka_unit_test(a_thousand_know_each_other_soon_after_a_start),
-        cmocka_unit_test(a_large_fleet_is_quiet_and_hears_of_who_leaves),
-        cmocka_unit_test(a_region_that_was_cut_off_is_found_again),
+        cmocka_unit_test(fleet_of_353_converges_after_simultaneous_start),
+        cmocka_unit_test(fleet_of_1000_converges_after_simultaneous_start),
+        cmocka_unit_test(large_idle_fleet_has_low_traffic_and_spreads_draining),
+        cmocka_unit_test(partitioned_region_rejoins),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/load_targets_test.c
+++ b/tests/core/load_targets_test.c
@@ -32,12 +32,12 @@
     news.region = region;
     message.members = &pointer;
     message.n_members = 1;
-    membership_read(membership, 999999, &message, 1000);
+    membership_receive(membership, 999999, &message, 1000);
 }
 
 static struct membership *seen_by(const struct fleet *fleet, uint32_t self_index)
 {
-    static const struct membership_settings settings = {.period_us = 1000000};
+    static const struct membership_settings settings = {.probe_period_us = 1000000};
     struct membership_driver driver = {NULL, ignore_send};
     struct member_state self = {.address = self_index + 1, .incarnation = 7, .role = MEMBER_LOADER};
     snprintf(self.region, sizeof self.region, "region-%u", self_index % fleet->regions);
--- a/tests/core/membership_test.c
+++ b/tests/core/membership_test.c
@@ -79,7 +79,7 @@
     *node = (struct node){.world = world, .address = index + 1};
     struct membership_driver driver = {node, on_send};
     node->membership =
-        membership_create(&membership_usual_settings, &self, index + incarnation, &driver);
+        membership_create(&membership_default_settings, &self, index + incarnation, &driver);
     membership_add_seed(node->membership, DEAD_SEED);
     membership_add_seed(node->membership, 1);
     membership_add_seed(node->membership, 2);
@@ -93,14 +93,14 @@
         Shuntrun__MemberMessage *message =
             shuntrun__member_message__unpack(NULL, datagram->size, datagram->bytes);
         if (!node->down && !node->paused)
-            membership_read(node->membership, datagram->from, message, world->now);
+            membership_receive(node->membership, datagram->from, message, world->now);
         shuntrun__member_message__free_unpacked(message, NULL);
         free(datagram->bytes);
     }
     world->queued = 0;
 }
 
-static void play(struct world *world, uint64_t time_us)
+static void run_for(struct world *world, uint64_t time_us)
 {
     for (uint64_t end = world->now + time_us; world->now < end; world->now += TICK_US) {
         for (uint32_t i = 0; i < world->count; i++)
@@ -145,38 +145,38 @@
             assert_int_equal(alive_at(world, i), expected);
 }
 
-static void all_find_each_other_past_a_dead_seed(void **state)
+static void members_join_despite_dead_seed(void **state)
 {
     for (uint64_t seed = 1; seed <= 10; seed++) {
         struct world *world = world_create(SMALL, seed, 10);
-        play(world, 2 * SECOND);
+        run_for(world, 2 * SECOND);
         assert_all_count(world, SMALL);
         world_destroy(world);
     }
 }
 
 /* Heartbeats that were told by chance came too seldom for more than some fifty members. */
-static void a_large_fleet_finds_itself_soon_and_doubts_nobody_afterwards(void **state)
+static void large_fleet_converges_and_declares_no_live_member_dead(void **state)
 {
     struct world *world = world_create(NODES_MOST, 3, 2);
-    play(world, 3 * SECOND);
+    run_for(world, 3 * SECOND);
     assert_all_count(world, NODES_MOST);
     for (uint32_t second = 0; second < 20; second++) {
-        play(world, SECOND);
+        run_for(world, SECOND);
         assert_all_count(world, NODES_MOST);
     }
     world_destroy(world);
 }
 
-static void a_quiet_fleet_costs_each_node_the_same_at_any_size(void **state)
+static void idle_traffic_per_node_is_independent_of_fleet_size(void **state)
 {
     double rates[2];
     const uint32_t sizes[2] = {30, NODES_MOST};
     for (uint32_t i = 0; i < 2; i++) {
         struct world *world = world_create(sizes[i], 3, 0);
-        play(world, 15 * SECOND);
+        run_for(world, 15 * SECOND);
         world->bytes_sent = 0;
-        play(world, 10 * SECOND);
+        run_for(world, 10 * SECOND);
         rates[i] = (double)world->bytes_sent / 10 / sizes[i];
         assert_true(world->largest < 2048);
         world_destroy(world);
@@ -186,50 +186,50 @@
     assert_true(rates[1] < 1.1 * rates[0]);
 }
 
-static void the_dead_are_noticed_and_the_living_are_not_doubted(void **state)
+static void only_dead_members_are_declared_dead(void **state)
 {
     struct world *world = world_create(NODES_MOST, 3, 2);
-    play(world, 5 * SECOND);
+    run_for(world, 5 * SECOND);
     for (uint32_t i = 0; i < 5; i++)
         world->nodes[i * 4].down = true;
-    play(world, 5 * SECOND);
+    run_for(world, 5 * SECOND);
     assert_all_count(world, NODES_MOST - 5);
     world_destroy(world);
 }
 
-static void most_of_the_fleet_may_die_at_once(void **state)
+static void death_of_most_members_at_once_is_detected(void **state)
 {
     struct world *world = world_create(NODES_MOST, 8, 2);
-    play(world, 5 * SECOND);
+    run_for(world, 5 * SECOND);
     for (uint32_t i = 0; i < NODES_MOST; i++)
         world->nodes[i].down = i % 5 != 0;
-    play(world, 25 * SECOND);
+    run_for(world, 25 * SECOND);
     assert_all_count(world, NODES_MOST / 5);
     world_destroy(world);
 }
 
-static void a_restart_with_a_clock_that_stepped_back_is_heard(void **state)
+static void restart_with_lower_incarnation_is_accepted(void **state)
 {
     struct world *world = world_create(SMALL, 4, 0);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     membership_destroy(world->nodes[7].membership);
     node_open(world, 7, 40); /* an older incarnation than the one remembered */
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     assert_all_count(world, SMALL);
     assert_true(membership_self(world->nodes[7].membership)->incarnation > 100);
     world_destroy(world);
 }
 
-static void a_paused_member_comes_back_and_accuses_nobody(void **state)
+static void paused_member_returns_without_declaring_others_dead(void **state)
 {
     struct world *world = world_create(SMALL, 5, 0);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     world->nodes[6].paused = true;
-    play(world, 5 * SECOND);
+    run_for(world, 5 * SECOND);
     assert_int_equal(alive_at(world, 3), SMALL - 1);
     world->nodes[6].paused = false;
     for (uint32_t i = 0; i < 10; i++) {
-        play(world, SECOND / 2);
+        run_for(world, SECOND / 2);
         assert_int_equal(alive_at(world, 6), SMALL);
     }
     assert_all_count(world, SMALL);
@@ -237,43 +237,43 @@
 }
 
 /* A member that gets nothing hears from nobody: it must not hold the others for dead at once. */
-static void a_member_that_hears_nothing_accuses_nobody(void **state)
+static void member_without_incoming_messages_declares_nobody_dead(void **state)
 {
     struct world *world = world_create(SMALL, 6, 0);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     world->silent_to = 9;
-    play(world, 3 * SECOND);
+    run_for(world, 3 * SECOND);
     assert_int_equal(alive_at(world, 8), SMALL);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     assert_int_equal(alive_at(world, 3), SMALL - 1);
     world->silent_to = 0;
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     assert_all_count(world, SMALL);
     world_destroy(world);
 }
 
-static void parted_sides_find_each_other_again(void **state)
+static void partitioned_groups_merge_again(void **state)
 {
     struct world *world = world_create(SMALL, 7, 0);
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     world->split = 8;
-    play(world, 12 * SECOND);
+    run_for(world, 12 * SECOND);
     assert_int_equal(alive_at(world, 0), 8);
     assert_int_equal(alive_at(world, 12), SMALL - 8);
     world->split = 0;
-    play(world, 6 * SECOND);
+    run_for(world, 6 * SECOND);
     assert_all_count(world, SMALL);
     world_destroy(world);
 }
 
-static void a_change_of_a_member_reaches_all(void **state)
+static void change_of_member_reaches_all_members(void **state)
 {
     struct world *world = world_create(NODES_MOST, 9, 2);
-    play(world, 5 * SECOND);
+    run_for(world, 5 * SECOND);
     struct membership *leaving = world->nodes[30].membership;
     membership_self(leaving)->draining = true;
     membership_self_changed(leaving);
-    play(world, 3 * SECOND);
+    run_for(world, 3 * SECOND);
     for (uint32_t i = 0; i < NODES_MOST; i++)
         if (i != 30)
             assert_true(membership_find(world->nodes[i].membership, 31)->draining);
@@ -283,61 +283,61 @@
 /* Whoever counts the dead as known would keep a node that joins later from ever being settled. */
 /* Guards against weights that were not whole: a put of an earlier process of a loader came late,
  * and its next process did not know that there had been one. */
-static void an_earlier_process_of_a_member_is_remembered(void **state)
+static void earlier_process_of_member_is_remembered(void **state)
 {
     struct world *world = world_create(3, 1, 0);
-    play(world, 3 * SECOND);
+    run_for(world, 3 * SECOND);
     struct membership *membership = world->nodes[0].membership;
     const struct member_state *member = membership_find(membership, 2);
     uint64_t now = world->now;
-    membership_heard(membership, 2, now);
-    membership_note_engine(membership, 2, 77);
+    membership_record_contact(membership, 2, now);
+    membership_record_engine_start(membership, 2, 77);
     /* The same process says that it is young: nothing came before it. */
-    assert_false(membership_note_start(membership, 2, now - SECOND));
+    assert_false(membership_record_process_start(membership, 2, now - SECOND));
     assert_int_equal(member->earlier_heard_at, 0);
     uint64_t started_at = now + SECOND;
-    assert_true(membership_note_start(membership, 2, started_at));
+    assert_true(membership_record_process_start(membership, 2, started_at));
     assert_int_equal(member->earlier_heard_at, now);
     assert_int_equal(member->earlier_born, 77);
     assert_int_equal(member->engine_born, 0);
-    assert_false(membership_note_start(membership, 2, started_at));
-    membership_heard(membership, 2, started_at + 1000);
-    assert_false(membership_note_start(membership, 2, started_at));
+    assert_false(membership_record_process_start(membership, 2, started_at));
+    membership_record_contact(membership, 2, started_at + 1000);
+    assert_false(membership_record_process_start(membership, 2, started_at));
     assert_int_equal(member->earlier_heard_at, now);
     world_destroy(world);
 }
 
-static void a_member_that_joins_after_many_died_is_settled(void **state)
+static void member_joining_after_many_deaths_is_converged(void **state)
 {
     struct world *world = world_create(SMALL, 10, 0);
     world->nodes[19].down = true;
-    play(world, 4 * SECOND);
+    run_for(world, 4 * SECOND);
     for (uint32_t i = 8; i < 19; i++)
         world->nodes[i].down = true;
-    play(world, 8 * SECOND);
+    run_for(world, 8 * SECOND);
     membership_destroy(world->nodes[19].membership);
     node_open(world, 19, 300);
-    play(world, 2 * SECOND);
+    run_for(world, 2 * SECOND);
     assert_int_equal(alive_at(world, 19), 9);
-    assert_true(membership_is_settled(world->nodes[19].membership));
+    assert_true(membership_is_converged(world->nodes[19].membership));
     world_destroy(world);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(all_find_each_other_past_a_dead_seed),
-        cmocka_unit_test(a_large_fleet_finds_itself_soon_and_doubts_nobody_afterwards),
-        cmocka_unit_test(a_quiet_fleet_costs_each_node_the_same_at_any_size),
-        cmocka_unit_test(the_dead_are_noticed_and_the_living_are_not_doubted),
-        cmocka_unit_test(most_of_the_fleet_may_die_at_once),
-        cmocka_unit_test(a_restart_with_a_clock_that_stepped_back_is_heard),
-        cmocka_unit_test(a_paused_member_comes_back_and_accuses_nobody),
-        cmocka_unit_test(a_member_that_hears_nothing_accuses_nobody),
-        cmocka_unit_test(parted_sides_find_each_other_again),
-        cmocka_unit_test(a_change_of_a_member_reaches_all),
-        cmocka_unit_test(an_earlier_process_of_a_member_is_remembered),
-        cmocka_unit_test(a_member_that_joins_after_many_died_is_settled),
+        cmocka_unit_test(members_join_despite_dead_seed),
+        cmocka_unit_test(large_fleet_converges_and_declares_no_live_member_dead),
+        cmocka_unit_test(idle_traffic_per_node_is_independent_of_fleet_size),
+        cmocka_unit_test(only_dead_members_are_declared_dead),
+        cmocka_unit_test(death_of_most_members_at_once_is_detected),
+        cmocka_unit_test(restart_with_lower_incarnation_is_accepted),
+        cmocka_unit_test(paused_member_returns_without_declaring_others_dead),
+        cmocka_unit_test(member_without_incoming_messages_declares_nobody_dead),
+        cmocka_unit_test(partitioned_groups_merge_again),
+        cmocka_unit_test(change_of_member_reaches_all_members),
+        cmocka_unit_test(earlier_process_of_member_is_remembered),
+        cmocka_unit_test(member_joining_after_many_deaths_is_converged),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/news_targets_test.c
+++ b/tests/core/news_targets_test.c
@@ -8,13 +8,13 @@
 
 #define REVISION 50
 
-static void each_loader_is_told_by_two_gateways_of_its_region(void **state)
+static void each_loader_is_target_of_two_gateways_of_its_region(void **state)
 {
     uint32_t told[FLEET_MEMBERS] = {0};
     for (uint32_t gateway = 0; gateway < FLEET_GATEWAYS; gateway++) {
         uint32_t count;
         struct random_stream random = {.seed = gateway};
-        struct membership *membership = fleet_seen_by(gateway, NULL);
+        struct membership *membership = fleet_view_of(gateway, NULL);
         uint32_t *addresses = news_targets(membership, REVISION, &random, &count);
         for (uint32_t i = 0; i < count; i++) {
             told[addresses[i] - 1]++;
@@ -30,26 +30,26 @@
         assert_true(told[i] < 15);
 }
 
-static void a_loader_tells_nobody(void **state)
+static void loader_has_no_targets(void **state)
 {
     uint32_t count;
     struct random_stream random = {.seed = 1};
-    struct membership *membership = fleet_seen_by(FLEET_GATEWAYS, NULL);
+    struct membership *membership = fleet_view_of(FLEET_GATEWAYS, NULL);
     free(news_targets(membership, REVISION, &random, &count));
     assert_int_equal(count, 0);
     membership_destroy(membership);
 }
 
 /* Few gateways are responsible for many loaders each: nobody is left out. */
-static void one_gateway_tells_all_loaders(void **state)
+static void single_gateway_targets_all_loaders(void **state)
 {
     uint32_t count;
     struct random_stream random = {.seed = 1};
-    struct membership *membership = fleet_seen_by(0, NULL);
+    struct membership *membership = fleet_view_of(0, NULL);
     for (uint32_t i = 1; i < FLEET_GATEWAYS; i++)
-        fleet_tell(membership, i, NULL, MEMBER_DEAD);
+        fleet_update_member(membership, i, NULL, MEMBER_DEAD);
     for (uint32_t i = FLEET_MEMBERS; i < FLEET_MEMBERS + 400; i++)
-        fleet_tell(membership, i, NULL, MEMBER_ALIVE);
+        fleet_update_member(membership, i, NULL, MEMBER_ALIVE);
     free(news_targets(membership, REVISION, &random, &count));
     assert_int_equal(count, FLEET_LOADERS + 400);
     membership_destroy(membership);
@@ -58,9 +58,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(each_loader_is_told_by_two_gateways_of_its_region),
-        cmocka_unit_test(a_loader_tells_nobody),
-        cmocka_unit_test(one_gateway_tells_all_loaders),
+        cmocka_unit_test(each_loader_is_target_of_two_gateways_of_its_region),
+        cmocka_unit_test(loader_has_no_targets),
+        cmocka_unit_test(single_gateway_targets_all_loaders),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/reader_role_test.c
+++ b/tests/core/reader_role_test.c
@@ -21,8 +21,8 @@
 {
 }
 
-static void hear(struct membership *listener, const struct member_state *state, bool sound,
-                 uint64_t now)
+static void deliver_state(struct membership *listener, const struct member_state *state,
+                          bool healthy, uint64_t now)
 {
     Shuntrun__MemberMessage message = SHUNTRUN__MEMBER_MESSAGE__INIT;
     Shuntrun__MemberNews news = SHUNTRUN__MEMBER_NEWS__INIT;
@@ -31,28 +31,28 @@
     news.health = MEMBER_ALIVE;
     news.role = state->role;
     news.region = (char *)state->region;
-    news.store_sound = sound;
+    news.store_sound = healthy;
     message.sender = &news;
-    membership_read(listener, state->address, &message, now);
+    membership_receive(listener, state->address, &message, now);
 }
 
 #define NOBODY UINT32_MAX
 
 /* All readers say whether the store answers them; one of them, if any, says that it does not. */
-static void say_all_but(struct fixture *fixture, bool sound, uint32_t failing)
+static void announce_store_health_except(struct fixture *fixture, bool healthy, uint32_t failing)
 {
     for (uint32_t i = 0; i < fixture->count; i++) {
         struct member_state *self = membership_self(fixture->nodes[i]);
-        self->store_sound = sound && i != failing && fixture->roles[i].duty != READER_RESTS;
+        self->store_sound = healthy && i != failing && fixture->roles[i].duty != READER_INACTIVE;
         for (uint32_t k = 0; k < fixture->count; k++)
             if (k != i)
-                hear(fixture->nodes[k], self, self->store_sound, fixture->now);
+                deliver_state(fixture->nodes[k], self, self->store_sound, fixture->now);
     }
 }
 
-static void say_all(struct fixture *fixture, bool sound)
+static void announce_store_health(struct fixture *fixture, bool healthy)
 {
-    say_all_but(fixture, sound, NOBODY);
+    announce_store_health_except(fixture, healthy, NOBODY);
 }
 
 static uint32_t count_duty(const struct fixture *fixture, enum reader_duty duty)
@@ -63,21 +63,21 @@
     return count;
 }
 
-static uint32_t play(struct fixture *fixture, uint64_t time_us)
+static uint32_t run_for(struct fixture *fixture, uint64_t time_us)
 {
     uint32_t readers = 0;
     for (uint64_t end = fixture->now + time_us; fixture->now < end; fixture->now += STEP_US) {
         readers = 0;
         for (uint32_t i = 0; i < fixture->count; i++)
             readers += reader_role_update(&fixture->roles[i], fixture->nodes[i], fixture->now) !=
-                       READER_RESTS;
+                       READER_INACTIVE;
     }
     return readers;
 }
 
 static void open_fixture(struct fixture *fixture, uint32_t count)
 {
-    static const struct membership_settings settings = {.period_us = 1000000};
+    static const struct membership_settings settings = {.probe_period_us = 1000000};
     struct membership_driver driver = {NULL, on_send};
     *fixture = (struct fixture){.count = count, .now = 1000000};
     for (uint32_t i = 0; i < count; i++) {
@@ -86,7 +86,7 @@
         snprintf(self.region, sizeof self.region, "region-%u", i % REGIONS);
         fixture->nodes[i] = membership_create(&settings, &self, i, &driver);
     }
-    say_all(fixture, false);
+    announce_store_health(fixture, false);
 }
 
 static void close_fixture(struct fixture *fixture)
@@ -96,102 +96,102 @@
 }
 
 /* The state has reached all. */
-static void know_all(struct fixture *fixture)
+static void set_state_known(struct fixture *fixture)
 {
     for (uint32_t i = 0; i < fixture->count; i++)
         membership_self(fixture->nodes[i])->state_revision = 5;
 }
 
-static void one_of_each_region_reads_the_whole_first(void **state)
+static void one_gateway_per_region_reads_snapshot_first(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, GATEWAYS);
-    assert_int_equal(play(&fixture, 100000), 0);
-    assert_int_equal(play(&fixture, 300000), REGIONS);
-    assert_int_equal(play(&fixture, 200000), 2 * REGIONS); /* nobody got an answer yet */
+    assert_int_equal(run_for(&fixture, 100000), 0);
+    assert_int_equal(run_for(&fixture, 300000), REGIONS);
+    assert_int_equal(run_for(&fixture, 200000), 2 * REGIONS); /* nobody got an answer yet */
     close_fixture(&fixture);
 }
 
-static void two_of_each_region_read_once_they_know_the_state(void **state)
+static void two_gateways_per_region_read_once_state_is_known(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, GATEWAYS);
-    play(&fixture, 300000);
-    know_all(&fixture);
-    assert_int_equal(play(&fixture, 100000), 2 * REGIONS);
-    say_all(&fixture, true);
-    assert_int_equal(play(&fixture, 5000000), 2 * REGIONS);
-    assert_int_equal(count_duty(&fixture, READER_LEADS), REGIONS);
-    assert_int_equal(count_duty(&fixture, READER_STANDS_BY), REGIONS);
+    run_for(&fixture, 300000);
+    set_state_known(&fixture);
+    assert_int_equal(run_for(&fixture, 100000), 2 * REGIONS);
+    announce_store_health(&fixture, true);
+    assert_int_equal(run_for(&fixture, 5000000), 2 * REGIONS);
+    assert_int_equal(count_duty(&fixture, READER_LEADER), REGIONS);
+    assert_int_equal(count_duty(&fixture, READER_STANDBY), REGIONS);
     close_fixture(&fixture);
 }
 
 /* Who stood by must not go on at its slow pace once the leader has no answers. */
-static void who_stands_by_leads_when_the_leader_has_no_answers(void **state)
+static void standby_takes_over_when_leader_gets_no_answers(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, GATEWAYS);
-    play(&fixture, 300000);
-    know_all(&fixture);
-    play(&fixture, 300000);
-    say_all(&fixture, true);
-    play(&fixture, 3000000);
+    run_for(&fixture, 300000);
+    set_state_known(&fixture);
+    run_for(&fixture, 300000);
+    announce_store_health(&fixture, true);
+    run_for(&fixture, 3000000);
     uint32_t leader = 0;
-    while (fixture.roles[leader].duty != READER_LEADS || leader % REGIONS != 0)
+    while (fixture.roles[leader].duty != READER_LEADER || leader % REGIONS != 0)
         leader++;
-    say_all_but(&fixture, true, leader);
-    play(&fixture, 100000);
+    announce_store_health_except(&fixture, true, leader);
+    run_for(&fixture, 100000);
     uint32_t leaders = 0;
     for (uint32_t i = 0; i < fixture.count; i += REGIONS)
-        leaders += i != leader && fixture.roles[i].duty == READER_LEADS;
+        leaders += i != leader && fixture.roles[i].duty == READER_LEADER;
     assert_int_equal(leaders, 1);
     close_fixture(&fixture);
 }
 
-static void the_pace_goes_by_the_bound_on_leaving(void **state)
+static void batch_delay_follows_drain_bound(void **state)
 {
-    assert_int_equal(reader_role_gather_ms(READER_LEADS, 2000), 200);
-    assert_int_equal(reader_role_gather_ms(READER_LEADS, 4000), 400);
-    assert_int_equal(reader_role_gather_ms(READER_STANDS_BY, 2000), 400);
-    assert_int_equal(reader_role_gather_ms(READER_STANDS_BY, 4000), 1000);
-    assert_int_equal(reader_role_gather_ms(READER_STANDS_BY, 700), 200);
+    assert_int_equal(reader_role_batch_delay_ms(READER_LEADER, 2000), 200);
+    assert_int_equal(reader_role_batch_delay_ms(READER_LEADER, 4000), 400);
+    assert_int_equal(reader_role_batch_delay_ms(READER_STANDBY, 2000), 400);
+    assert_int_equal(reader_role_batch_delay_ms(READER_STANDBY, 4000), 1000);
+    assert_int_equal(reader_role_batch_delay_ms(READER_STANDBY, 700), 200);
 }
 
 /* It heard of hundreds and knows a few: its own place among them would be a guess. */
-static void who_knows_few_of_the_members_does_not_rank_itself(void **state)
+static void unconverged_gateway_waits_before_ranking_itself(void **state)
 {
     struct fixture fixture;
     Shuntrun__MemberMessage message = SHUNTRUN__MEMBER_MESSAGE__INIT;
     open_fixture(&fixture, GATEWAYS);
     message.known = 353;
     for (uint32_t i = 0; i < fixture.count; i++)
-        membership_read(fixture.nodes[i], (i + 1) % fixture.count + 1, &message, fixture.now);
-    assert_int_equal(play(&fixture, 700000), 0);
-    assert_true(play(&fixture, 300000) > 0); /* those may be dead of whom it heard */
+        membership_receive(fixture.nodes[i], (i + 1) % fixture.count + 1, &message, fixture.now);
+    assert_int_equal(run_for(&fixture, 700000), 0);
+    assert_true(run_for(&fixture, 300000) > 0); /* those may be dead of whom it heard */
     close_fixture(&fixture);
 }
 
 /* \return time until a gateway that knows nobody reads */
-static uint64_t time_alone(uint32_t address)
+static uint64_t time_until_reading_without_peers(uint32_t address)
 {
-    static const struct membership_settings settings = {.period_us = 1000000};
+    static const struct membership_settings settings = {.probe_period_us = 1000000};
     struct membership_driver driver = {NULL, on_send};
     struct member_state self = {
         .address = address, .incarnation = 7, .role = MEMBER_GATEWAY, .health = MEMBER_ALIVE};
     struct membership *membership = membership_create(&settings, &self, 1, &driver);
     struct reader_role role = {0};
     uint64_t time = 0;
-    while (reader_role_update(&role, membership, 1000000 + time) == READER_RESTS)
+    while (reader_role_update(&role, membership, 1000000 + time) == READER_INACTIVE)
         time += STEP_US / 10;
     membership_destroy(membership);
     return time;
 }
 
-static void who_knows_nobody_waits_for_seeds_but_for_a_few(void **state)
+static void gateway_without_peers_waits_for_seeds_unless_early_reader(void **state)
 {
     uint32_t early = 0;
     for (uint32_t address = 1; address <= 400; address++) {
-        uint64_t time = time_alone(address);
+        uint64_t time = time_until_reading_without_peers(address);
         assert_true(time == 100000 || time == 500000);
         early += time == 100000;
     }
@@ -199,68 +199,68 @@
 }
 
 /* The list that a node gets from others is as good as theirs. */
-static void the_list_is_sound_while_any_gateway_gets_answers(void **state)
+static void store_counts_as_healthy_while_any_gateway_gets_answers(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, GATEWAYS);
-    know_all(&fixture);
-    play(&fixture, 300000);
-    say_all(&fixture, true);
+    set_state_known(&fixture);
+    run_for(&fixture, 300000);
+    announce_store_health(&fixture, true);
     membership_self(fixture.nodes[0])->store_sound = false; /* the store turns it away */
-    assert_true(reader_role_somebody_is_sound(fixture.nodes[0]));
-    say_all(&fixture, false);
-    assert_false(reader_role_somebody_is_sound(fixture.nodes[0]));
+    assert_true(reader_role_any_reader_is_healthy(fixture.nodes[0]));
+    announce_store_health(&fixture, false);
+    assert_false(reader_role_any_reader_is_healthy(fixture.nodes[0]));
     close_fixture(&fixture);
 }
 
-static void a_few_gateways_all_read(void **state)
+static void all_gateways_of_small_fleet_read(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, 6);
-    assert_int_equal(play(&fixture, 5000000), 6);
+    assert_int_equal(run_for(&fixture, 5000000), 6);
     close_fixture(&fixture);
 }
 
-static void others_step_in_while_no_reader_gets_answers(void **state)
+static void extra_gateways_read_while_no_reader_gets_answers(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture, GATEWAYS);
-    know_all(&fixture);
-    play(&fixture, 300000);
-    say_all(&fixture, true);
-    play(&fixture, 4000000);
-    say_all(&fixture, false);
-    assert_int_equal(play(&fixture, 500000), 2 * REGIONS);
-    assert_int_equal(play(&fixture, 500000), 5 * REGIONS);
-    say_all(&fixture, true);
-    assert_int_equal(play(&fixture, 3000000), 2 * REGIONS);
+    set_state_known(&fixture);
+    run_for(&fixture, 300000);
+    announce_store_health(&fixture, true);
+    run_for(&fixture, 4000000);
+    announce_store_health(&fixture, false);
+    assert_int_equal(run_for(&fixture, 500000), 2 * REGIONS);
+    assert_int_equal(run_for(&fixture, 500000), 5 * REGIONS);
+    announce_store_health(&fixture, true);
+    assert_int_equal(run_for(&fixture, 3000000), 2 * REGIONS);
     close_fixture(&fixture);
 }
 
 /* The own state is written several times between two looks; the change must not get lost in it. */
-static void a_change_of_soundness_is_told_once(void **state)
+static void change_of_store_health_is_announced_once(void **state)
 {
     struct reader_role role = {0};
-    assert_false(reader_role_must_tell(&role, false));
-    assert_true(reader_role_must_tell(&role, true));
-    assert_false(reader_role_must_tell(&role, true));
-    assert_true(reader_role_must_tell(&role, false));
-    assert_false(reader_role_must_tell(&role, false));
+    assert_false(reader_role_must_announce(&role, false));
+    assert_true(reader_role_must_announce(&role, true));
+    assert_false(reader_role_must_announce(&role, true));
+    assert_true(reader_role_must_announce(&role, false));
+    assert_false(reader_role_must_announce(&role, false));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(one_of_each_region_reads_the_whole_first),
-        cmocka_unit_test(two_of_each_region_read_once_they_know_the_state),
-        cmocka_unit_test(who_stands_by_leads_when_the_leader_has_no_answers),
-        cmocka_unit_test(the_pace_goes_by_the_bound_on_leaving),
-        cmocka_unit_test(who_knows_few_of_the_members_does_not_rank_itself),
-        cmocka_unit_test(who_knows_nobody_waits_for_seeds_but_for_a_few),
-        cmocka_unit_test(the_list_is_sound_while_any_gateway_gets_answers),
-        cmocka_unit_test(a_few_gateways_all_read),
-        cmocka_unit_test(others_step_in_while_no_reader_gets_answers),
-        cmocka_unit_test(a_change_of_soundness_is_told_once),
+        cmocka_unit_test(one_gateway_per_region_reads_snapshot_first),
+        cmocka_unit_test(two_gateways_per_region_read_once_state_is_known),
+        cmocka_unit_test(standby_takes_over_when_leader_gets_no_answers),
+        cmocka_unit_test(batch_delay_follows_drain_bound),
+        cmocka_unit_test(unconverged_gateway_waits_before_ranking_itself),
+        cmocka_unit_test(gateway_without_peers_waits_for_seeds_unless_early_reader),
+        cmocka_unit_test(store_counts_as_healthy_while_any_gateway_gets_answers),
+        cmocka_unit_test(all_gateways_of_small_fleet_read),
+        cmocka_unit_test(extra_gateways_read_while_no_reader_gets_answers),
+        cmocka_unit_test(change_of_store_health_is_announced_once),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/relay_plan_test.c
+++ b/tests/core/relay_plan_test.c
@@ -21,9 +21,9 @@
     return fleet_role(index) == MEMBER_LOADER ? 8 : 40;
 }
 
-static void plan_of(uint32_t index, fleet_link *link, struct relay_plan *plan)
+static void plan_of(uint32_t index, fleet_link_rate *link, struct relay_plan *plan)
 {
-    struct membership *membership = fleet_seen_by(index, link);
+    struct membership *membership = fleet_view_of(index, link);
     relay_plan_refresh(plan, membership, ROLLOUT);
     membership_destroy(membership);
 }
@@ -203,8 +203,8 @@
 static void the_dead_do_not_relay(void **state)
 {
     struct relay_plan plan;
-    struct membership *membership = fleet_seen_by(FLEET_GATEWAYS, few_fast_gateways);
-    fleet_tell(membership, 0, few_fast_gateways, MEMBER_DEAD);
+    struct membership *membership = fleet_view_of(FLEET_GATEWAYS, few_fast_gateways);
+    fleet_update_member(membership, 0, few_fast_gateways, MEMBER_DEAD);
     relay_plan_refresh(&plan, membership, ROLLOUT);
     assert_false(names(&plan, 1));
     assert_true(names(&plan, 2));
--- a/tests/core/store_outage_test.c
+++ b/tests/core/store_outage_test.c
@@ -27,7 +27,7 @@
 #define MS_US 1000ULL
 #define GATEWAYS 7
 #define TICK_MS 100
-#define GATHER_MS 200
+#define BATCH_DELAY_MS 200
 /** One way between a gateway and the store. */
 #define DELAY_MS 2
 /** After it an engine that leaves gets no new work. */
@@ -87,7 +87,7 @@
         gateway->pool = backend_pool_create(&pool_settings, i);
         gateway->engine = backend_retain(backend_pool_list(gateway->pool, &listing, 0));
         gateway->revision = 1;
-        store_watch_begin(&gateway->watch, 1, MS_US);
+        store_watch_init(&gateway->watch, 1, MS_US);
         store_watch_answered(&gateway->watch, 1, MS_US);
     }
 }
@@ -109,12 +109,13 @@
     gateway->revision = revision;
     if (dropped) {
         gateway->learned_at = session->now;
-        struct state_loss loss = store_watch_loss(&gateway->watch, false, session->now * MS_US);
+        struct state_removal loss =
+            store_watch_removal(&gateway->watch, false, session->now * MS_US);
         struct backend_drop drop = {loss.learned, loss.from_outage};
         backend_pool_unlist(gateway->pool, "i-1", &drop, session->now * MS_US);
     }
     store_watch_answered(&gateway->watch, revision, session->now * MS_US);
-    gateway->next_call = session->now + (news ? GATHER_MS : 0);
+    gateway->next_call = session->now + (news ? BATCH_DELAY_MS : 0);
 }
 
 static void step_call(struct session *session, struct gateway *gateway)
@@ -137,14 +138,14 @@
         take_answer(session, gateway);
     } else if (waited >= gateway->call.timeout_ms) {
         gateway->calling = false;
-        gateway->next_call = now + store_watch_failed(&gateway->watch, STORE_SILENT);
+        gateway->next_call = now + store_watch_failed(&gateway->watch, STORE_TIMED_OUT);
     }
 }
 
-static bool somebody_is_sound(const struct session *session)
+static bool any_gateway_is_healthy(const struct session *session)
 {
     for (uint32_t i = 0; i < GATEWAYS; i++)
-        if (store_watch_is_sound(&session->gateways[i].watch))
+        if (store_watch_is_healthy(&session->gateways[i].watch))
             return true;
     return false;
 }
@@ -154,10 +155,10 @@
     session->now++;
     for (uint32_t i = 0; i < GATEWAYS; i++)
         step_call(session, &session->gateways[i]);
-    bool sound = somebody_is_sound(session);
+    bool healthy = any_gateway_is_healthy(session);
     for (uint32_t i = 0; i < GATEWAYS; i++)
         if (session->now % TICK_MS == i)
-            backend_pool_settle(session->gateways[i].pool, sound, session->now * MS_US);
+            backend_pool_settle(session->gateways[i].pool, healthy, session->now * MS_US);
 }
 
 static void run_until(struct session *session, uint64_t end)
@@ -166,7 +167,7 @@
         step(session);
 }
 
-static uint32_t count_who_may_send(const struct session *session)
+static uint32_t count_gateways_that_may_send(const struct session *session)
 {
     static const struct backend_wish wish = {.service = "llm"};
     uint32_t count = 0;
@@ -187,7 +188,7 @@
                                         .silent_until = 1000 + before + length};                   \
                  script.change_at; script.change_at = 0)
 
-static void an_engine_that_leaves_after_an_outage_gets_nothing_past_the_bound(void **state)
+static void engine_leaving_after_outage_gets_no_work_past_bound(void **state)
 {
     FOR_EACH_OUTAGE(script)
     {
@@ -196,14 +197,14 @@
             script.drop_at = script.silent_until + CONTACT_MS + after;
             open_session(&session, &script);
             run_until(&session, script.drop_at + DRAIN_MS);
-            assert_int_equal(count_who_may_send(&session), 0);
+            assert_int_equal(count_gateways_that_may_send(&session), 0);
             close_session(&session);
         }
     }
 }
 
 /* The purpose of the doubt: what an outage loses lives, and lists itself again. */
-static void an_engine_that_an_outage_drops_is_used_until_it_is_back(void **state)
+static void engine_dropped_by_outage_stays_usable_until_relisted(void **state)
 {
     FOR_EACH_OUTAGE(script)
     {
@@ -211,9 +212,9 @@
         script.drop_at = script.silent_until - 50;
         open_session(&session, &script);
         run_until(&session, script.silent_until + RELIST_MS);
-        assert_int_equal(count_who_may_send(&session), GATEWAYS);
+        assert_int_equal(count_gateways_that_may_send(&session), GATEWAYS);
         run_until(&session, script.silent_until + 4 * RELIST_MS);
-        assert_int_equal(count_who_may_send(&session), 0);
+        assert_int_equal(count_gateways_that_may_send(&session), 0);
         close_session(&session);
     }
 }
@@ -221,8 +222,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(an_engine_that_leaves_after_an_outage_gets_nothing_past_the_bound),
-        cmocka_unit_test(an_engine_that_an_outage_drops_is_used_until_it_is_back),
+        cmocka_unit_test(engine_leaving_after_outage_gets_no_work_past_bound),
+        cmocka_unit_test(engine_dropped_by_outage_stays_usable_until_relisted),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/store_watch_test.c
+++ b/tests/core/store_watch_test.c
@@ -3,10 +3,10 @@
 
 #include "core/store_watch.h"
 
-static void the_whole_is_read_before_changes_are_watched(void **state)
+static void snapshot_is_read_before_watching(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 0, 1);
+    store_watch_init(&watch, 0, 1);
     assert_false(store_watch_next_call(&watch).watches);
     store_watch_answered(&watch, 0, 2); /* a page of several */
     assert_false(store_watch_next_call(&watch).watches);
@@ -15,110 +15,109 @@
     assert_int_equal(watch.revision, 17);
 }
 
-static void what_others_told_is_not_read_again(void **state)
+static void state_known_from_peers_needs_no_snapshot(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     assert_true(store_watch_next_call(&watch).watches);
-    assert_false(store_watch_is_sound(&watch)); /* nothing is known of the store yet */
+    assert_false(store_watch_is_healthy(&watch)); /* nothing is known of the store yet */
 }
 
-static void lost_history_means_the_whole_again(void **state)
+static void lost_history_requires_new_snapshot(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_history_lost(&watch);
     assert_false(store_watch_next_call(&watch).watches);
 }
 
-static void failures_are_spaced_out_until_an_answer_comes(void **state)
+static void failures_back_off_until_answer(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
-    uint32_t first = store_watch_failed(&watch, STORE_AWAY);
-    assert_false(store_watch_is_sound(&watch));
-    uint32_t second = store_watch_failed(&watch, STORE_AWAY);
+    uint32_t first = store_watch_failed(&watch, STORE_UNAVAILABLE);
+    assert_false(store_watch_is_healthy(&watch));
+    uint32_t second = store_watch_failed(&watch, STORE_UNAVAILABLE);
     assert_true(second > first);
     for (int i = 0; i < 100; i++)
-        assert_true(store_watch_failed(&watch, STORE_AWAY) <= 1000);
+        assert_true(store_watch_failed(&watch, STORE_UNAVAILABLE) <= 1000);
     store_watch_answered(&watch, 18, 3);
-    assert_true(store_watch_is_sound(&watch));
-    assert_int_equal(store_watch_failed(&watch, STORE_AWAY), first);
+    assert_true(store_watch_is_healthy(&watch));
+    assert_int_equal(store_watch_failed(&watch, STORE_UNAVAILABLE), first);
 }
 
-static void a_node_that_knows_nothing_asks_again_soon(void **state)
+static void node_without_state_retries_within_250_ms(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 0, 1);
+    store_watch_init(&watch, 0, 1);
     for (int i = 0; i < 100; i++)
-        assert_true(store_watch_failed(&watch, STORE_AWAY) <= 250);
+        assert_true(store_watch_failed(&watch, STORE_UNAVAILABLE) <= 250);
 }
 
-static void a_silent_watch_is_followed_by_a_check_at_once(void **state)
+static void timed_out_watch_is_retried_immediately(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
     struct store_call usual = store_watch_next_call(&watch);
-    assert_int_equal(store_watch_failed(&watch, STORE_SILENT), 0);
+    assert_int_equal(store_watch_failed(&watch, STORE_TIMED_OUT), 0);
     struct store_call check = store_watch_next_call(&watch);
     assert_true(check.watches);
     assert_true(check.wait_ms < 100);
     /* The next answer comes within the 3 s in which nodes get back in touch. */
     assert_true(usual.timeout_ms + check.wait_ms < 2900);
-    assert_true(store_watch_failed(&watch, STORE_SILENT) > 0);
+    assert_true(store_watch_failed(&watch, STORE_TIMED_OUT) > 0);
 }
 
-static void
-what_went_is_from_an_outage_only_if_the_store_was_away_since_the_last_answer(void **state)
+static void removal_is_from_outage_only_if_calls_failed_since_last_answer(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
-    assert_false(store_watch_loss(&watch, false, 10).from_outage);
-    store_watch_failed(&watch, STORE_SILENT);
-    assert_true(store_watch_loss(&watch, false, 10).from_outage);
-    assert_int_equal(store_watch_loss(&watch, false, 10).learned, 10);
+    assert_false(store_watch_removal(&watch, false, 10).from_outage);
+    store_watch_failed(&watch, STORE_TIMED_OUT);
+    assert_true(store_watch_removal(&watch, false, 10).from_outage);
+    assert_int_equal(store_watch_removal(&watch, false, 10).learned, 10);
     store_watch_answered(&watch, 18, 11);
-    assert_false(store_watch_loss(&watch, false, 12).from_outage);
-    store_watch_failed(&watch, STORE_AWAY);
-    assert_true(store_watch_loss(&watch, false, 13).from_outage);
+    assert_false(store_watch_removal(&watch, false, 12).from_outage);
+    store_watch_failed(&watch, STORE_UNAVAILABLE);
+    assert_true(store_watch_removal(&watch, false, 13).from_outage);
 }
 
 /* It forgets its history and cuts its watches, which lapses no entry: what is missing has left. */
-static void a_store_that_forgot_its_history_had_no_outage(void **state)
+static void lost_history_is_not_an_outage(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
-    store_watch_failed(&watch, STORE_CUT);
+    store_watch_failed(&watch, STORE_DISCONNECTED);
     store_watch_history_lost(&watch);
     store_watch_answered(&watch, 0, 20); /* a page of several */
-    struct state_loss loss = store_watch_loss(&watch, false, 30);
+    struct state_removal loss = store_watch_removal(&watch, false, 30);
     assert_false(loss.from_outage);
     assert_int_equal(loss.learned, 2); /* it may have gone since then */
     store_watch_answered(&watch, 40, 30);
-    assert_int_equal(store_watch_loss(&watch, false, 50).learned, 50);
+    assert_int_equal(store_watch_removal(&watch, false, 50).learned, 50);
 }
 
-static void connections_that_break_again_and_again_are_an_outage(void **state)
+static void repeated_disconnects_are_an_outage(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
-    store_watch_failed(&watch, STORE_CUT);
-    store_watch_failed(&watch, STORE_CUT);
-    assert_true(store_watch_loss(&watch, false, 10).from_outage);
+    store_watch_failed(&watch, STORE_DISCONNECTED);
+    store_watch_failed(&watch, STORE_DISCONNECTED);
+    assert_true(store_watch_removal(&watch, false, 10).from_outage);
 }
 
-static void what_a_node_missed_by_its_own_fault_may_have_gone_long_before(void **state)
+static void removal_after_own_pause_dates_from_last_answer(void **state)
 {
     struct store_watch watch;
-    store_watch_begin(&watch, 17, 1);
+    store_watch_init(&watch, 17, 1);
     store_watch_answered(&watch, 17, 2);
-    store_watch_failed(&watch, STORE_SILENT);
-    struct state_loss loss = store_watch_loss(&watch, true, 4000);
+    store_watch_failed(&watch, STORE_TIMED_OUT);
+    struct state_removal loss = store_watch_removal(&watch, true, 4000);
     assert_false(loss.from_outage);
     assert_int_equal(loss.learned, 2);
 }
@@ -126,17 +125,16 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(the_whole_is_read_before_changes_are_watched),
-        cmocka_unit_test(what_others_told_is_not_read_again),
-        cmocka_unit_test(lost_history_means_the_whole_again),
-        cmocka_unit_test(failures_are_spaced_out_until_an_answer_comes),
-        cmocka_unit_test(a_silent_watch_is_followed_by_a_check_at_once),
-        cmocka_unit_test(
-            what_went_is_from_an_outage_only_if_the_store_was_away_since_the_last_answer),
-        cmocka_unit_test(a_store_that_forgot_its_history_had_no_outage),
-        cmocka_unit_test(connections_that_break_again_and_again_are_an_outage),
-        cmocka_unit_test(what_a_node_missed_by_its_own_fault_may_have_gone_long_before),
-        cmocka_unit_test(a_node_that_knows_nothing_asks_again_soon),
+        cmocka_unit_test(snapshot_is_read_before_watching),
+        cmocka_unit_test(state_known_from_peers_needs_no_snapshot),
+        cmocka_unit_test(lost_history_requires_new_snapshot),
+        cmocka_unit_test(failures_back_off_until_answer),
+        cmocka_unit_test(timed_out_watch_is_retried_immediately),
+        cmocka_unit_test(removal_is_from_outage_only_if_calls_failed_since_last_answer),
+        cmocka_unit_test(lost_history_is_not_an_outage),
+        cmocka_unit_test(repeated_disconnects_are_an_outage),
+        cmocka_unit_test(removal_after_own_pause_dates_from_last_answer),
+        cmocka_unit_test(node_without_state_retries_within_250_ms),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/version_bounds_test.c
+++ b/tests/core/version_bounds_test.c
@@ -7,28 +7,28 @@
 static void each_version_is_enforced_from_its_own_time(void **state)
 {
     struct version_bounds bounds = {0};
-    version_bounds_name(&bounds, "m", 2, 1000);
-    version_bounds_name(&bounds, "m", 4, 3000);
-    version_bounds_name(&bounds, "m", 3, 500); /* older than what is known: no news */
+    version_bounds_add(&bounds, "m", 2, 1000);
+    version_bounds_add(&bounds, "m", 4, 3000);
+    version_bounds_add(&bounds, "m", 3, 500); /* older than what is known: no news */
     assert_int_equal(version_bounds_newest(&bounds, "m"), 4);
     assert_int_equal(version_bounds_newest(&bounds, "other"), 0);
-    assert_int_equal(version_bounds_least(&bounds, "m", 999), 0);
-    assert_int_equal(version_bounds_least(&bounds, "m", 1000), 2);
-    assert_int_equal(version_bounds_least(&bounds, "m", 2999), 2);
-    assert_int_equal(version_bounds_least(&bounds, "m", 3000), 4);
-    assert_int_equal(version_bounds_least(&bounds, "other", 3000), 0);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 999), 0);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 1000), 2);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 2999), 2);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 3000), 4);
+    assert_int_equal(version_bounds_minimum(&bounds, "other", 3000), 0);
 }
 
-static void many_versions_keep_the_newest(void **state)
+static void newest_versions_are_kept_when_table_is_full(void **state)
 {
     struct version_bounds bounds = {0};
     for (uint64_t version = 1; version <= 30; version++)
-        version_bounds_name(&bounds, "m", version, version * 100);
-    assert_int_equal(version_bounds_least(&bounds, "m", 2950), 29);
-    assert_int_equal(version_bounds_least(&bounds, "m", 5000), 30);
+        version_bounds_add(&bounds, "m", version, version * 100);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 2950), 29);
+    assert_int_equal(version_bounds_minimum(&bounds, "m", 5000), 30);
 }
 
-static void turns_fill_the_window(void **state)
+static void start_turns_fill_the_window(void **state)
 {
     const struct start_turn_settings settings = {.first_us = 100, .last_us = 1000};
     assert_int_equal(start_turn(&settings, 5000, 0, 1), 5100);
@@ -43,8 +43,8 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(each_version_is_enforced_from_its_own_time),
-        cmocka_unit_test(many_versions_keep_the_newest),
-        cmocka_unit_test(turns_fill_the_window),
+        cmocka_unit_test(newest_versions_are_kept_when_table_is_full),
+        cmocka_unit_test(start_turns_fill_the_window),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/wake_watch_test.c
+++ b/tests/core/wake_watch_test.c
@@ -6,48 +6,48 @@
 #define MS ((uint64_t)1000)
 #define SECOND ((uint64_t)1000000)
 
-static void nothing_is_told_of_a_process_that_runs(void **state)
+static void running_process_has_no_pause(void **state)
 {
     struct wake_watch watch = {0};
-    assert_int_equal(wake_watch_look(&watch, 900 * SECOND, 500 * SECOND).kind, WAKE_NONE);
+    assert_int_equal(wake_watch_check(&watch, 900 * SECOND, 500 * SECOND).kind, WAKE_NONE);
     for (uint64_t i = 1; i < 20; i++) {
         uint64_t passed = i * 100 * MS;
         assert_int_equal(
-            wake_watch_look(&watch, 900 * SECOND + passed + i % 3, 500 * SECOND + passed).kind,
+            wake_watch_check(&watch, 900 * SECOND + passed + i % 3, 500 * SECOND + passed).kind,
             WAKE_NONE);
     }
 }
 
-static void a_suspension_is_the_difference_of_the_clocks(void **state)
+static void suspension_is_the_difference_of_the_clocks(void **state)
 {
     struct wake_watch watch = {0};
-    wake_watch_look(&watch, 900 * SECOND, 500 * SECOND);
-    struct wake wake = wake_watch_look(&watch, 905 * SECOND, 500 * SECOND + 40 * MS);
+    wake_watch_check(&watch, 900 * SECOND, 500 * SECOND);
+    struct wake wake = wake_watch_check(&watch, 905 * SECOND, 500 * SECOND + 40 * MS);
     assert_int_equal(wake.kind, WAKE_SUSPENDED);
     assert_int_equal(wake.pause_us, 5 * SECOND - 40 * MS);
     /* It is told once, and the next one again. */
-    assert_int_equal(wake_watch_look(&watch, 905 * SECOND + MS, 500 * SECOND + 41 * MS).kind,
+    assert_int_equal(wake_watch_check(&watch, 905 * SECOND + MS, 500 * SECOND + 41 * MS).kind,
                      WAKE_NONE);
-    wake = wake_watch_look(&watch, 905 * SECOND + 51 * MS, 500 * SECOND + 41 * MS);
+    wake = wake_watch_check(&watch, 905 * SECOND + 51 * MS, 500 * SECOND + 41 * MS);
     assert_int_equal(wake.kind, WAKE_SUSPENDED);
     assert_int_equal(wake.pause_us, 50 * MS);
 }
 
-static void a_process_that_was_stopped_shows_by_the_time_between_looks(void **state)
+static void stopped_process_is_detected_by_time_between_checks(void **state)
 {
     struct wake_watch watch = {0};
-    wake_watch_look(&watch, 900 * SECOND, 500 * SECOND);
-    struct wake wake = wake_watch_look(&watch, 903 * SECOND, 503 * SECOND);
-    assert_int_equal(wake.kind, WAKE_STOOD_STILL);
+    wake_watch_check(&watch, 900 * SECOND, 500 * SECOND);
+    struct wake wake = wake_watch_check(&watch, 903 * SECOND, 503 * SECOND);
+    assert_int_equal(wake.kind, WAKE_STALLED);
     assert_int_equal(wake.pause_us, 3 * SECOND);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(nothing_is_told_of_a_process_that_runs),
-        cmocka_unit_test(a_suspension_is_the_difference_of_the_clocks),
-        cmocka_unit_test(a_process_that_was_stopped_shows_by_the_time_between_looks),
+        cmocka_unit_test(running_process_has_no_pause),
+        cmocka_unit_test(suspension_is_the_difference_of_the_clocks),
+        cmocka_unit_test(stopped_process_is_detected_by_time_between_checks),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/weights/piece_sources_test.c
+++ b/tests/weights/piece_sources_test.c
@@ -23,7 +23,7 @@
 static void open_fixture(struct fixture *fixture)
 {
     memset(fixture, 0, sizeof *fixture);
-    fixture->cluster.membership = fleet_seen_by(FLEET_GATEWAYS, fast_gateways);
+    fixture->cluster.membership = fleet_view_of(FLEET_GATEWAYS, fast_gateways);
     fixture->set = piece_set_create("m", 2);
     fixture->sources =
         piece_sources_create(&fixture->cluster, fixture->set, PIECE_ROLE_LOADER, NULL);
