--- a/src/core/member.h
+++ b/src/core/member.h
@@ -1,5 +1,5 @@
 /**
- * A member of a group of nodes, as far as placement and overlays need it.
+ * The attributes of a node that placement and overlay networks use.
  */
 #ifndef SHUNTRUN_MEMBER_H
 #define SHUNTRUN_MEMBER_H
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 struct member {
-    uint64_t id; /**< hash_name of the node */
+    uint64_t id; /**< hash_name() of the node's name */
     uint16_t zone;
     uint16_t region;
 };
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -1,4 +1,4 @@
-/* The table of members: what is known of each, and which news is newer. */
+/* The member table: the known state of each member, and which updates supersede it. */
 #include "core/membership_internal.h"
 
 #include "base/memory.h"
@@ -7,19 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time between comparisons while they bring news: an answer, or some pages of it, comes in it. */
-/** A start is known by its age in a message, which took some time on its way. A process starts
- * again later than this after its last message. */
+/** A message gives the process start as an age, so the start seems later by the message's delay. A
+ * restarted process starts later than this after the last message of the earlier one. */
 #define PROCESS_START_MARGIN_US 5000
+/** Time between syncs while they change the table: enough for some pages of an answer. */
 #define SYNC_MIN_INTERVAL_US 50000
-/** One in so many comparisons is with another region: bytes on the way there are dear, but what one
- *  node of a region learns from there soon goes round in it. */
+/** One in this many syncs is with another region: bandwidth between regions is expensive, and what
+ * one node of a region learns from there soon spreads in it. */
 #define SYNC_REMOTE_ONE_IN 6
-/** Members that are drawn in search of one of the wanted region. */
+/** Random members that are tried to find one of the wanted region. */
 #define SYNC_TARGET_TRIES 8
-/** A node that knows a smaller share of the members than another one is not settled. */
+/** A node that knows a smaller fraction of the members than this has not converged. */
 #define CONVERGED_FRACTION 0.9
-/** Ticks that are so late mean that the process stood still. */
+/** A tick this many probe periods after the last one means that the process was paused. */
 #define PAUSE_MIN_PERIODS 3
 
 const struct membership_settings membership_default_settings = {.probe_period_us = 400000,
@@ -66,7 +66,7 @@
     membership->self.incarnation++;
 }
 
-/* --- news ----------------------------------------------------------------------------------------
+/* --- updates -------------------------------------------------------------------------------------
  */
 
 struct member_state *membership_lookup(const struct membership *membership, uint32_t address)
@@ -94,7 +94,7 @@
     member->transmits = 0;
 }
 
-/* Of one incarnation worse news win: only the member itself can refute them. */
+/* Within one incarnation the worse health wins; the member refutes it by a higher one. */
 static bool supersedes(const Shuntrun__MemberNews *update, const struct member_state *member)
 {
     if (update->incarnation != member->incarnation)
@@ -111,7 +111,7 @@
 static void refute(struct membership *membership, const Shuntrun__MemberNews *update)
 {
     struct member_state *self = &membership->self;
-    if (update->incarnation > self->incarnation) /* an earlier start with a clock that was ahead */
+    if (update->incarnation > self->incarnation) /* an earlier start whose clock was ahead */
         self->incarnation = update->incarnation + 1;
     else if (update->incarnation == self->incarnation && update->health != MEMBER_ALIVE)
         self->incarnation++;
@@ -121,7 +121,7 @@
 {
     membership->members =
         memory_resize(membership->members, (membership->count + 1) * sizeof *membership->members);
-    /* At a random place, so that not all nodes probe the members in the order of their joining. */
+    /* At a random index, so that nodes do not probe the members in order of joining. */
     uint32_t index = (uint32_t)random_below(&membership->random, ++membership->count);
     uint32_t last = membership->count - 1;
     if (index != last)
@@ -137,7 +137,7 @@
            update->health >= MEMBER_ALIVE && update->health <= MEMBER_DEAD;
 }
 
-/* Where a member is: what its news say, or the place of the message that they name. */
+/* Copies zone and region from the message's list, or else from the update itself. */
 static void copy_place(const Shuntrun__MemberMessage *message, const Shuntrun__MemberNews *update,
                        struct member_state *member)
 {
@@ -159,7 +159,7 @@
     struct member_state *member = membership_lookup(membership, update->address);
     if (member && !supersedes(update, member)) {
         member->transmits +=
-            repeats_known_state(update, member); /* it goes round without this node */
+            repeats_known_state(update, member); /* other nodes already spread it */
         return;
     }
     bool is_new = !member;
@@ -199,7 +199,7 @@
     if (!member)
         return;
     member->heard_at = now;
-    if (member->health != MEMBER_ALIVE) /* it has to hear of that, or it cannot refute */
+    if (member->health != MEMBER_ALIVE) /* it must learn of that to refute it */
         membership_send_update(membership, from);
 }
 
@@ -223,7 +223,7 @@
         member->engine_born = born;
 }
 
-/* There may be more where that came from: compare again soon. */
+/* The sender may have more changes: sync again soon. */
 static void schedule_early_sync(struct membership *membership, uint64_t now)
 {
     membership->sync_found_changes = true;
@@ -256,7 +256,7 @@
 /* --- time ----------------------------------------------------------------------------------------
  */
 
-/* What this node missed while it stood still says nothing of others. */
+/* Messages that this node missed while it was paused are no evidence against other members. */
 static void discount_own_pause(struct membership *membership, uint64_t now)
 {
     uint64_t pause = now - membership->last_tick;
@@ -294,7 +294,7 @@
         address_index_put(&membership->index, membership->members[i].address, i);
 }
 
-/* \return a living member taken by chance, mostly of the own region; 0: none */
+/* \return address of a random live member, mostly of the own region; 0: none */
 static uint32_t choose_sync_target(struct membership *membership)
 {
     bool same_region = random_below(&membership->random, SYNC_REMOTE_ONE_IN) != 0;
@@ -312,11 +312,11 @@
 }
 
 /*
- * Tables are compared often as long as that brings news, as after a start, and seldom once they are
- * the same. Of 353 members that start within 0.3 s the last knows all after 1.04 s instead of 1.88
- * s with a comparison each 0.25 s, and 15 kB instead of 91 kB a node pass between regions (virtual
- * network of tests/core/fleet_start_test.c; names of zones told once a message have a part in
- * that).
+ * Anti-entropy: syncs are frequent while they change the table, as after a start, and back off once
+ * tables agree. When 353 members start within 0.3 s, the last one knows all members after 1.04 s
+ * instead of 1.88 s with a fixed interval of 0.25 s, and 15 kB instead of 91 kB per node pass
+ * between regions (simulated network of tests/core/fleet_start_test.c; listing each zone once per
+ * message contributes to that).
  */
 static void sync_tables(struct membership *membership, uint64_t now)
 {
@@ -328,7 +328,7 @@
     if (wait > membership->settings.sync_interval_us)
         wait = membership->settings.sync_interval_us;
     if (wait == membership->settings.sync_interval_us)
-        membership->max_known = 0; /* those that were counted then may be dead by now */
+        membership->max_known = 0; /* members counted in it may have died since */
     membership->sync_found_changes = false;
     membership->sync_wait = wait;
     membership->next_sync = now + wait;
@@ -346,7 +346,7 @@
     sync_tables(membership, now);
 }
 
-/* --- questions -----------------------------------------------------------------------------------
+/* --- queries -------------------------------------------------------------------------------------
  */
 
 uint32_t membership_count(const struct membership *membership)
--- a/src/core/membership_news.c
+++ b/src/core/membership_news.c
@@ -1,4 +1,4 @@
-/* Dissemination: changes travel on other messages; tables are compared by digests. */
+/* Dissemination: member updates are piggybacked on messages; tables are synced by digests. */
 #include "core/membership_internal.h"
 
 #include "base/memory.h"
@@ -7,17 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** A change is told in so many messages for each doubling of the members. */
+/** An update is sent in this many messages for each doubling of the number of members. */
 #define TRANSMITS_PER_DOUBLING 2
-/** That a member joined is told in so many messages by each node: comparisons of tables bring it to
- * whoever was missed, and after a start of all a large fleet would go on telling for minutes. */
+/** Each node sends the joining of a member in this many messages: syncs bring it to the rest.
+ * Without this limit a large fleet that starts at once would send such updates for minutes. */
 #define JOIN_TRANSMITS_MAX 4
-/** Members that a message for another purpose tells of, besides: the rest goes on the next ones. */
+/** Member updates piggybacked on one message; further ones go with the next messages. */
 #define MAX_PIGGYBACKED_UPDATES 12
-/** Messages of one answer to a comparison at most; the rest waits for the next one. */
+/** Messages in one answer to a sync at most; the rest follows with the next sync. */
 #define MAX_PAGES_PER_ANSWER 4
-/** Pages that a node sends in answers, a second and at once: half of a link of 9.4 Mbit/s. Hundreds
- * of nodes that start at once ask the same few seeds; once they know one node they ask others. */
+/** Rate and burst of pages that a node sends in answers: half of a link of 9.4 Mbit/s. Hundreds of
+ * nodes that start at once request a sync from the same few seeds; once they know other members
+ * they request it from these, too. */
 #define PAGES_PER_SECOND 450
 #define PAGE_BURST 60
 
@@ -48,8 +49,8 @@
     message->message.places = message->place_pointers;
 }
 
-/* \return number of the member's place in the message, counted from 1; 0: the message has no room
- */
+/* \return number of the member's place (zone and region) in the message's list, counted from 1; 0:
+ * the list is full */
 static uint32_t place_number(struct membership_message *message, const struct member_state *member)
 {
     size_t count = message->message.n_places;
@@ -87,8 +88,8 @@
     return TRANSMITS_PER_DOUBLING * doublings;
 }
 
-/* What was told least often goes first. */
-static void add_changes(struct membership *membership, struct membership_message *message)
+/* Updates with the fewest transmits go first. */
+static void piggyback_updates(struct membership *membership, struct membership_message *message)
 {
     uint32_t limit = membership_transmit_limit(membership);
     uint64_t number = ++membership->messages;
@@ -113,7 +114,7 @@
     const struct member_state *member = membership_lookup(membership, recipient);
     if (member && member->health != MEMBER_ALIVE)
         add_update(message, member);
-    add_changes(membership, message);
+    piggyback_updates(membership, message);
     membership->driver.send(membership->driver.context, recipient, &message->message);
 }
 
@@ -134,10 +135,10 @@
     membership_send_changes(membership, address, NULL);
 }
 
-/* --- comparison of tables ------------------------------------------------------------------------
+/* --- sync ----------------------------------------------------------------------------------------
  */
 
-/* Members of the region that compares come in buckets of their own: a node knows these first. */
+/* Members of the requester's region have separate buckets, as it must know these first. */
 static uint32_t bucket_of(const struct member_state *member, const char *region)
 {
     uint32_t bucket = (uint32_t)(hash_pair(member->address, 1) % MEMBERSHIP_REGION_BUCKETS);
@@ -149,7 +150,7 @@
     return (uint32_t)hash_pair(hash_pair(member->address, member->incarnation), member->health);
 }
 
-/* Who is dead need not be known: those that never heard of a dead member differ in nothing. */
+/* Leaves out dead members: a node that never knew a dead member need not learn of it. */
 static void write_digests(const struct membership *membership, const char *region,
                           uint32_t digests[MEMBERSHIP_BUCKETS])
 {
@@ -180,15 +181,15 @@
     membership_message_begin(membership, page);
 }
 
-/* Pages of an answer that is being written. */
+/* An answer to a sync that is being written, in pages of one message each. */
 struct sync_answer {
     struct membership_message page;
-    uint32_t address; /* of who requested */
-    uint32_t pages;   /* that may still be sent */
+    uint32_t address; /* of the requester */
+    uint32_t pages;   /* number that may still be sent */
 };
 
-/* \return pages that the next answer may have */
-static uint32_t take_page_allowance(struct membership *membership, uint64_t now)
+/* Refills the token bucket. \return number of pages that the next answer may have */
+static uint32_t allowed_pages(struct membership *membership, uint64_t now)
 {
     double elapsed_s = (double)(now - membership->page_tokens_at) / 1e6;
     membership->page_tokens_at = now;
@@ -211,10 +212,10 @@
     answer->pages--;
 }
 
-/* Members in the order of their buckets. */
+/* Members ordered by their buckets. */
 struct bucket_order {
-    uint32_t *indexes;                      /* in the table */
-    uint32_t first[MEMBERSHIP_BUCKETS + 1]; /* of each bucket among these */
+    uint32_t *indexes;                      /* in the member table */
+    uint32_t first[MEMBERSHIP_BUCKETS + 1]; /* first of each bucket in `indexes` */
 };
 
 static void order_by_bucket(const struct membership *membership, const char *region,
@@ -241,8 +242,8 @@
 }
 
 /*
- * The requester's region comes first. Whole buckets are sent, from one taken by chance on: those
- * need not be sent again, whoever is requested next.
+ * The requester's region comes first. Buckets are sent completely, starting from a random one:
+ * these then agree, so the next node that is sent a request need not repeat them.
  */
 static void add_differences(struct membership *membership, struct sync_answer *answer,
                             const char *region, const uint32_t *own, const uint32_t *remote)
@@ -264,7 +265,7 @@
                             const uint32_t *digests, size_t count, uint64_t now)
 {
     uint32_t own[MEMBERSHIP_BUCKETS];
-    struct sync_answer answer = {.address = address, .pages = take_page_allowance(membership, now)};
+    struct sync_answer answer = {.address = address, .pages = allowed_pages(membership, now)};
     const struct member_state *requester = membership_lookup(membership, address);
     if (count != MEMBERSHIP_BUCKETS || !requester)
         return;
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -1,13 +1,13 @@
-/* Failure detection: one probe in each period, through others when there is no answer. */
+/* Failure detection: one probe in each period, and indirect probes if it is not answered. */
 #include "core/membership_internal.h"
 
 #include <string.h>
 
-/** Members that are asked to probe for this node. */
+/** Members that are asked to send an indirect probe. */
 #define INDIRECT_PROBES 3
-/** Dead members and seeds are probed besides, one in so many periods. */
+/** One dead member and one seed not known alive are contacted each this many periods. */
 #define LOST_PROBE_PERIODS 4
-/** A node that hears from nobody doubts itself before it doubts others, for so long. */
+/** Time for which a node that receives nothing suspects itself, not other members. */
 #define ISOLATION_GRACE_US 3000000
 
 static void send_ping(struct membership *membership, uint32_t address, uint32_t number,
@@ -75,15 +75,15 @@
 
 static void swap(struct membership *membership, uint32_t left, uint32_t right)
 {
-    struct member_state kept = membership->members[left];
+    struct member_state saved = membership->members[left];
     if (left == right)
         return;
     membership_set_at(membership, left, &membership->members[right]);
-    membership_set_at(membership, right, &kept);
+    membership_set_at(membership, right, &saved);
 }
 
-/* Each pass over the members is in another order: each is probed by somebody in nearly each period,
- * and by a given node within two passes. */
+/* A new order for each pass: some node probes a given member in nearly every period, and each node
+ * probes it within two passes. */
 static void shuffle(struct membership *membership)
 {
     for (uint32_t i = membership->count; i > 1; i--) {
@@ -92,7 +92,7 @@
     }
 }
 
-/* \return the next member to probe, one that was not heard of in the last period; NULL: none */
+/* \return the next member to probe: suspected, or silent for a probe period; NULL: none */
 static struct member_state *next_target(struct membership *membership, uint64_t now)
 {
     for (uint32_t tried = 0; tried < membership->count; tried++) {
@@ -142,7 +142,7 @@
     }
 }
 
-/* Nothing came from anybody since the probe began: the fault may be this node's own. */
+/* Whether nothing was received since the probe began: the fault may be this node's own. */
 static bool is_isolated(const struct membership *membership, uint64_t now)
 {
     return membership->heard_at < membership->probe.began &&
@@ -194,7 +194,7 @@
     return true;
 }
 
-/* Now and then a node looks for those that were lost. */
+/* Contacts a seed and a dead member periodically, so that partitions merge again. */
 static void probe_lost_members(struct membership *membership)
 {
     if (membership->periods % LOST_PROBE_PERIODS != 0)
@@ -204,7 +204,8 @@
         probe_dead_member(membership);
 }
 
-/* Seeds may start a moment later than this node: they are asked until one has answered. */
+/* Seeds may start later than this node: requests repeat until a live member is known. \return
+ * whether one is known */
 static bool contact_seeds_if_alone(struct membership *membership, uint64_t now)
 {
     if (!knows_no_live_member(membership))
--- a/src/core/news_targets.c
+++ b/src/core/news_targets.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-/** Gateways that a gateway tells. */
+/** Gateways to which a gateway sends a change. */
 #define GATEWAY_FANOUT 4
-/** Gateways that are responsible for a loader. */
+/** Gateways that are responsible for each loader. */
 #define GATEWAYS_PER_LOADER 2
 
 struct target_list {
@@ -40,7 +40,7 @@
     }
 }
 
-/* Gateways of the loader's own region go before all others. */
+/* Gateways of the loader's region outrank all others. */
 static uint64_t rendezvous_weight(const struct member_state *gateway,
                                   const struct member_state *loader)
 {
--- a/src/core/news_targets.h
+++ b/src/core/news_targets.h
@@ -1,9 +1,9 @@
 /**
- * Whom a node tells at once when it learns of a change by the operator.
+ * The nodes to which a node sends a change by the operator at once (gossip).
  *
- * A gateway tells a few other gateways, taken by chance, which pass it on likewise; and the loaders
+ * A gateway sends it to a few random gateways, which pass it on in the same way, and to the loaders
  * that it is responsible for. Each loader has two responsible gateways by rendezvous weight, of its
- * own region where that has any. Whoever is missed hears of the change with the next probe.
+ * own region if that has any. Nodes that this misses receive the change with the next probe.
  */
 #ifndef SHUNTRUN_NEWS_TARGETS_H
 #define SHUNTRUN_NEWS_TARGETS_H
@@ -11,8 +11,9 @@
 #include "core/membership.h"
 
 /**
+ * \brief Choose the nodes to which this node sends a change.
  * \param revision of the change; members that are known to have it are left out
- * \param count gets the number of nodes to tell
+ * \param count receives the number of addresses
  * \return their addresses, owned by the caller
  */
 uint32_t *news_targets(struct membership *membership, uint64_t revision,
--- a/src/core/reader_role.c
+++ b/src/core/reader_role.c
@@ -4,37 +4,37 @@
 
 #include <string.h>
 
-/** Gateways of each region that read: one leads, one stands by. */
+/** Gateways of each region that read the store: a leader and a standby. */
 #define READERS_PER_REGION 2
-/** While no reader gets answers, so many more read after each such time. */
+/** While no reader of a region gets answers, this many more gateways read after each step. */
 #define EXTRA_READERS_PER_STEP 3
 #define EXTRA_READERS_STEP_US 700000
-/** Who need not read goes on for so long, as views of who lives differ for a moment. */
+/** A reader no longer needed stops after this time: member tables differ for a moment. */
 #define READER_STOP_DELAY_US 2000000
-/** After its start a node looks for other gateways for so long: some round trips to a seed. */
+/** A starting node looks for gateways at least this long: some round trips to a seed. */
 #define DISCOVERY_MIN_US 100000
-/** Whoever found the first gateway takes so long to hear of most others: two comparisons of tables.
- */
+/** Time from the first known gateway to most of them: two syncs of the member table. */
 #define DISCOVERY_AFTER_CONTACT_US 75000
-/** Seeds may begin 0.3 s later than others, and take some time to answer hundreds; until then
- * nobody finds anybody. */
+/** Seeds may start 0.3 s later than other nodes and take some time to answer hundreds of them;
+ * until then no node finds another one. */
 #define SEED_START_WAIT_US 500000
-/** One in so many gateways does not wait for late seeds: somebody should know the state by then.
- * Each of them takes the whole through a link between regions. */
+/** One in this many gateways does not wait for late seeds, so that some node knows the state when
+ * the seeds answer. Each of them loads the full snapshot over a link between regions. */
 #define EARLY_READER_ONE_IN 16
-/** A node that does not know most others yet ranks itself in any case after this time: what others
- *  know may be long dead. */
+/** A node whose member table has not converged ranks itself anyway after this time: the members
+ * that others reported may be dead. */
 #define CONVERGENCE_WAIT_US 800000
-/** While nothing is known, one more gateway of a region begins to read in each such time: about as
- *  long as the whole takes to come through a link between regions. */
+/** While no state is known, one more gateway of a region starts to read in each step: about the
+ * time in which the full snapshot passes a link between regions. */
 #define COLD_START_STEP_US 400000
 #define READER_HASH_KEY 0x72656164657273ULL
-/** The leading reader gathers for a tenth of the bound in which leaving must be known. */
+/** The leader's batch delay is a tenth of the drain bound. */
 #define LEADER_BATCH_DIVISOR 10
 #define LEADER_BATCH_MIN_MS 200
 #define LEADER_BATCH_MAX_MS 400
-/** While the one that stands by gathers, a leader may die unnoticed. What the list drops stays
- * usable for up to 1.4 s, and the news take 0.2 s to reach all: that is left out of the bound. */
+/** If the leader fails unnoticed, a removal is known only after the standby's batch delay. Back
+ * ends that are no longer listed stay usable for up to 1.4 s, and the change takes 0.2 s to reach
+ * all nodes: both are subtracted from the drain bound. */
 #define STANDBY_BATCH_MARGIN_MS 1600
 #define STANDBY_BATCH_MIN_MS 200
 #define STANDBY_BATCH_MAX_MS 1000
@@ -45,10 +45,10 @@
            strcmp(member->region, region) == 0;
 }
 
-/* The gateways of the own region that go before this node by weight. */
+/* The gateways of the own region that precede this node by rendezvous weight. */
 struct rank {
     uint32_t ahead;
-    uint32_t healthy_ahead; /* those of them that get answers of the store */
+    uint32_t healthy_ahead; /* those of them that get answers from the store */
 };
 
 static struct rank rank_self(struct membership *membership)
@@ -123,11 +123,11 @@
 }
 
 /*
- * After a loss of power all gateways know nothing. If many of them read the whole at once, they
- * choke the links between regions: so one of a region does, and the others get it from there,
- * compressed. Later ranks step in as that one may fail. A node that knows few others yet ranks
- * itself too high: of 149 gateways 83 read the whole that way, and the last had the state 0.95 s
- * after the start.
+ * After a power failure no gateway has any state. If many of them read the full snapshot at once,
+ * they saturate the links between regions. So one gateway of a region reads it, and the others get
+ * it from there, compressed; gateways of lower rank follow in case that one fails. A node whose
+ * member table has not converged ranks itself too high: without waiting for that, 83 of 149
+ * gateways read the snapshot, and the last one had the state 0.95 s after the start.
  */
 static bool may_read_snapshot(struct reader_role *role, struct membership *membership, uint64_t now)
 {
@@ -171,17 +171,17 @@
     return role->duty;
 }
 
-static uint32_t limit(uint64_t value, uint32_t least, uint32_t most)
+static uint32_t clamp(uint64_t value, uint32_t min, uint32_t max)
 {
-    if (value < least)
-        return least;
-    return value < most ? (uint32_t)value : most;
+    if (value < min)
+        return min;
+    return value < max ? (uint32_t)value : max;
 }
 
 uint32_t reader_role_batch_delay_ms(enum reader_duty duty, uint64_t bound_ms)
 {
     if (duty == READER_LEADER)
-        return limit(bound_ms / LEADER_BATCH_DIVISOR, LEADER_BATCH_MIN_MS, LEADER_BATCH_MAX_MS);
+        return clamp(bound_ms / LEADER_BATCH_DIVISOR, LEADER_BATCH_MIN_MS, LEADER_BATCH_MAX_MS);
     uint64_t left = bound_ms > STANDBY_BATCH_MARGIN_MS ? bound_ms - STANDBY_BATCH_MARGIN_MS : 0;
-    return limit(left, STANDBY_BATCH_MIN_MS, STANDBY_BATCH_MAX_MS);
+    return clamp(left, STANDBY_BATCH_MIN_MS, STANDBY_BATCH_MAX_MS);
 }
--- a/src/core/state_cache.c
+++ b/src/core/state_cache.c
@@ -10,8 +10,8 @@
     struct state_item **items; /* sorted by key */
     uint32_t count;
     uint64_t revision;
-    uint64_t trimmed_revision; /* greatest revision of an item that was trimmed */
-    /* What went between these two is not known: a snapshot led from one to the other. */
+    uint64_t trimmed_revision; /* greatest revision of a trimmed item */
+    /* Removals between these two revisions are not known individually: a snapshot bridged them. */
     uint64_t gap_begin;
     uint64_t gap_end;
 };
@@ -38,7 +38,7 @@
     free(cache);
 }
 
-/* Place of a key, or where it would stand. */
+/* Index of a key, or the index at which to insert it. */
 static uint32_t find_index(const struct state_cache *cache, const char *key, bool *found)
 {
     uint32_t low = 0, high = cache->count;
@@ -136,7 +136,7 @@
             cache->items[i]->seen = false;
 }
 
-/* Of two gaps the older one is as good as forgotten. */
+/* Only the newest gap is kept: the changes up to the end of an older one count as trimmed. */
 static void record_gap(struct state_cache *cache, uint64_t revision)
 {
     if (revision <= cache->revision)
--- a/src/core/state_cache.h
+++ b/src/core/state_cache.h
@@ -1,10 +1,11 @@
 /**
- * A copy of what the platform publishes, as items that each carry the revision of their last
- * change.
+ * A local copy of the state that the platform publishes, as items that each have the revision of
+ * their last change.
  *
- * A single counter of revisions orders all changes, so copies of several nodes merge by taking the
- * greater revision of each item, in any order: no item ever goes back. Changes since a revision can
- * be handed to another node; a copy too old for that gets the whole.
+ * A single revision counter orders all changes, so copies of several nodes merge by taking the
+ * greater revision of each item, in any order: no item reverts to an older revision. Another node
+ * can get the delta since a revision; a copy that is too old for a delta gets a full snapshot.
+ * Removed items stay as tombstones (`gone`) until they are trimmed.
  */
 #ifndef SHUNTRUN_STATE_CACHE_H
 #define SHUNTRUN_STATE_CACHE_H
@@ -15,63 +16,64 @@
 
 struct state_item {
     char *key;
-    char *value; /**< owned, ended by a zero that does not count; NULL when gone */
-    size_t size;
+    char *value; /**< owned, zero-terminated; NULL when gone */
+    size_t size; /**< of the value, bytes, without the terminating zero */
     uint64_t revision;
-    bool gone;
-    uint64_t learned; /**< time at which a node first knew of it */
+    bool gone;        /**< removed: this is a tombstone */
+    uint64_t learned; /**< time at which the first node knew of the last change */
     bool
         from_outage; /**< the store may have lost the item in an outage, see struct state_removal */
-    bool seen;       /**< by the snapshot that is being taken in */
+    bool seen;       /**< contained in the snapshot that is being applied */
 };
 
-/** What is known of when an item went. */
+/** What is known of the time and cause of an item's removal. */
 struct state_removal {
-    uint64_t learned; /**< time at which a node first knew of it; at the latest then it went */
-    bool from_outage; /**< it may have been in an outage of the store: then whatever the item stood
-                         for may live, and come back */
+    uint64_t learned; /**< time at which the first node knew of it: the item was removed no later */
+    bool from_outage; /**< the store may have lost the item in an outage: what it stands for may
+                         still run, and list itself again */
 };
 
 struct state_cache;
 
 struct state_cache_listener {
     void *context;
-    /** An item is new, changed or gone. */
+    /** Called when an item was added, changed or removed. */
     void (*changed)(void *context, const struct state_item *item);
 };
 
 struct state_cache *state_cache_create(const struct state_cache_listener *listener);
 void state_cache_destroy(struct state_cache *cache);
 
-/** \brief Take one item in. \return true when it was newer than what is held */
+/** \brief Apply one item. \return whether it was newer than the held one */
 bool state_cache_put(struct state_cache *cache, const char *key, const char *value, size_t size,
                      uint64_t revision, uint64_t learned);
 bool state_cache_remove(struct state_cache *cache, const char *key, uint64_t revision,
                         const struct state_removal *loss);
-/** \brief All changes up to this revision are in. */
+/** \brief Record that all changes up to this revision were applied. */
 void state_cache_advance(struct state_cache *cache, uint64_t revision);
 
-/** \brief A whole set of the items under a prefix follows as state_cache_put() calls. */
+/** \brief Begin a snapshot of all items under a prefix, which follow as state_cache_put() calls. */
 void state_cache_snapshot_begin(struct state_cache *cache, const char *prefix);
-/** \brief Items under the prefix that did not come are gone, unless newer than `revision`. */
+/** \brief End a snapshot: removes items that it lacked, unless newer than `revision`. */
 void state_cache_snapshot_end(struct state_cache *cache, const char *prefix, uint64_t revision,
                               const struct state_removal *loss);
 
-/** \return the revision up to which all changes are in, 0 before the first snapshot */
+/** \return the revision up to which all changes were applied, 0 before the first snapshot */
 uint64_t state_cache_revision(const struct state_cache *cache);
 const struct state_item *state_cache_find(const struct state_cache *cache, const char *key);
 uint32_t state_cache_count(const struct state_cache *cache);
 const struct state_item *state_cache_at(const struct state_cache *cache, uint32_t index);
-/** \return whether changes since `revision` of items that never go are all here */
+/** \return whether the delta since `revision` is complete for items that are never removed */
 bool state_cache_retains_since(const struct state_cache *cache, uint64_t revision);
 /**
- * \return whether changes since `revision` are all here, for a copy that is exactly that old; else
- * only the whole can be given. A copy that began with the whole has no removals from before it.
+ * \return whether the delta since `revision` is complete for a copy of exactly this revision;
+ * otherwise only a full snapshot can be sent. A copy that began with a snapshot has no removals
+ * from before it.
  */
 bool state_cache_has_delta_for(const struct state_cache *cache, uint64_t revision);
-/** \return whether changes since `revision` are all here, for copies that are that old or newer */
+/** \return whether the delta is complete for copies of `revision` and of any newer one */
 bool state_cache_has_delta_since(const struct state_cache *cache, uint64_t revision);
-/** \brief Forget items that are gone since before `before`. */
+/** \brief Delete tombstones of items whose removal was learned before the time `before`. */
 void state_cache_trim(struct state_cache *cache, uint64_t before);
 
 #endif
--- a/src/core/store_watch.c
+++ b/src/core/store_watch.c
@@ -1,19 +1,19 @@
 #include "core/store_watch.h"
 
-/** Time for a page of the whole, which is sent at once. */
+/** Timeout for a page of a snapshot, which the store sends at once. */
 #define SNAPSHOT_PAGE_TIMEOUT_MS 1500
-/** A watch that the store never answers, as it was silent meanwhile, must be over, and the next
- * call answered, within the 3 s in which nodes get back in touch: then nothing that goes after
- * these 3 s is taken for a loss of the outage. */
+/** Longest wait of a watch. If an outage of the store swallows a watch, it must have timed out, and
+ * the next call must be answered, within the 3 s in which nodes reconnect after an outage: then
+ * nothing that is removed after these 3 s is taken for an item lost in the outage. */
 #define WATCH_WAIT_MS 2000
-/** After a failure: a call that tells at once whether the store is back. */
+/** Wait of a watch after a failure: short, as it checks whether the store is back. */
 #define RECOVERY_WATCH_WAIT_MS 50
-/** Time for the answer at the end of the wait: a store may answer a hundred times slower than its
- *  usual 4 ms. */
+/** Time for the answer after the wait has ended: a store may answer a hundred times slower than its
+ * usual 4 ms. */
 #define WATCH_ANSWER_TIMEOUT_MS 700
 #define BACKOFF_BASE_MS 150
 #define BACKOFF_MAX_MS 1000
-/** A node that knows nothing yet serves nobody. */
+/** Shorter maximum for a node without any state: it cannot serve requests. */
 #define BACKOFF_EMPTY_MAX_MS 250
 #define BACKOFF_MAX_DOUBLINGS 3
 
@@ -41,7 +41,7 @@
 {
     bool first = !watch->failures;
     watch->outage |= failure != STORE_DISCONNECTED || !first;
-    if (first && failure == STORE_TIMED_OUT) { /* that took long enough: the store may be back */
+    if (first && failure == STORE_TIMED_OUT) { /* its timeout was a delay: the store may be back */
         watch->failures = 1;
         return 0;
     }
@@ -65,7 +65,7 @@
         watch->revision = revision;
     watch->answered = true;
     watch->failures = 0;
-    if (watch->revision) { /* else more of the whole follows */
+    if (watch->revision) { /* else more pages of the snapshot follow */
         watch->answered_at = now;
         watch->outage = false;
         watch->history_lost = false;
--- a/src/core/store_watch.h
+++ b/src/core/store_watch.h
@@ -1,8 +1,8 @@
 /**
- * How a reader follows the platform's store: it reads the whole once, then watches for changes.
- * Says which call comes next and when, from how the calls before ended.
+ * State machine of a reader of the platform's store: it reads a full snapshot once, then watches
+ * for changes. Determines the next call and its time from the outcome of the previous calls.
  *
- * No clock, socket or thread.
+ * Uses no clock, socket or thread.
  */
 #ifndef SHUNTRUN_STORE_WATCH_H
 #define SHUNTRUN_STORE_WATCH_H
@@ -13,50 +13,49 @@
 #include <stdint.h>
 
 struct store_watch {
-    uint64_t revision;    /**< all changes up to here are known; 0: the whole must be read */
-    uint32_t failures;    /**< calls in a row that had no answer */
-    bool outage;          /**< the store was away since the last answer, as far as its calls tell */
-    bool history_lost;    /**< the whole is read as the store forgot changes: they may be old */
-    bool answered;        /**< the store gave an answer since this reader began */
-    uint64_t answered_at; /**< time of the last answer: all that went before is known */
+    uint64_t revision;    /**< all changes up to here are known; 0: a snapshot must be read */
+    uint32_t failures;    /**< consecutive calls without an answer */
+    bool outage;          /**< since the last answer calls failed, other than by one disconnect */
+    bool history_lost;    /**< a snapshot is read since the store dropped its history */
+    bool answered;        /**< the store has answered since store_watch_init() */
+    uint64_t answered_at; /**< time of the last answer: all earlier removals are known */
 };
 
 /** One call to the store. */
 struct store_call {
-    bool watches;        /**< for changes after the known revision; false: the whole is read */
-    uint32_t wait_ms;    /**< for which the store may wait for a change */
-    uint32_t timeout_ms; /**< after which there will be no answer */
+    bool watches;        /**< waits for changes after the known revision; false: reads a snapshot */
+    uint32_t wait_ms;    /**< time for which the store may wait for a change */
+    uint32_t timeout_ms; /**< time after which the call counts as failed */
 };
 
-/** How a call ended that had no answer. */
+/** Why a call had no answer. */
 enum store_failure {
-    STORE_DISCONNECTED, /**< the connection broke: the store may do that and work on */
-    STORE_TIMED_OUT,   /**< no answer came in time: the store was away when the call began, or later
-                        */
-    STORE_UNAVAILABLE, /**< it was not reached, or answered that it cannot serve */
+    STORE_DISCONNECTED, /**< the connection broke: the store may do that and still work */
+    STORE_TIMED_OUT,    /**< no answer in time: the store was unavailable during the call */
+    STORE_UNAVAILABLE,  /**< not reachable, or it answered that it cannot serve the call */
 };
 
-/** \brief Begin to read. \param known revision up to which all is known from others, 0: none */
+/** \brief Start reading. \param known revision up to which other nodes sent all changes, 0: none */
 void store_watch_init(struct store_watch *watch, uint64_t known, uint64_t now);
-/** \brief Others told of all changes up to here: the next watch goes on from there. */
+/** \brief Other nodes sent all changes up to `known`: the next watch continues from there. */
 void store_watch_advance(struct store_watch *watch, uint64_t known);
 struct store_call store_watch_next_call(const struct store_watch *watch);
-/** \brief A call had no answer. \return time until the next one, ms */
+/** \brief Record a call without an answer. \return delay before the next call, ms */
 uint32_t store_watch_failed(struct store_watch *watch, enum store_failure failure);
-/** \brief The store no longer has the changes after the known revision: the whole is read again. */
+/** \brief The store dropped changes after the known revision: a snapshot must be read again. */
 void store_watch_history_lost(struct store_watch *watch);
 /**
- * \brief An answer came; all changes up to `revision` are known, 0: not all of the whole is in.
- * Ask store_watch_removal() before, for what the answer says is gone.
+ * \brief Record an answer. Call store_watch_removal() before, for the items that it removes.
+ * \param revision up to which all changes are known; 0: more pages of the snapshot follow
  */
 void store_watch_answered(struct store_watch *watch, uint64_t revision, uint64_t now);
 /**
- * \brief What is known of when the items went that the present answer lacks.
- * \param own_pause this node heard nothing for a while by its own fault
+ * \brief What is known of the time and cause of removals in the current answer.
+ * \param own_pause this node received nothing for a while by its own fault
  */
 struct state_removal store_watch_removal(const struct store_watch *watch, bool own_pause,
                                          uint64_t now);
-/** \return whether the last call had its answer, or waits for it without a failure before */
+/** \return whether the store has answered and no call failed since its last answer */
 bool store_watch_is_healthy(const struct store_watch *watch);
 
 #endif
--- a/src/core/version_bounds.h
+++ b/src/core/version_bounds.h
@@ -1,13 +1,13 @@
 /**
- * Which weight versions may still serve a model: each named version is the least one allowed from
- * some time after it was named.
+ * The weight versions that may still serve a model: each version named by the operator becomes the
+ * minimum at a time after it was named.
  */
 #ifndef SHUNTRUN_VERSION_BOUNDS_H
 #define SHUNTRUN_VERSION_BOUNDS_H
 
 #include <stdint.h>
 
-/** The version that a model has until the operator names one. */
+/** Version of a model until the operator names one. */
 #define INITIAL_VERSION 1
 #define VERSION_BOUNDS_MAX_MODELS 16
 #define VERSION_BOUNDS_MAX_VERSIONS 8
@@ -15,7 +15,7 @@
 
 struct version_bound {
     uint64_t version;
-    uint64_t enforced_at; /**< time from which no older version may begin work */
+    uint64_t enforced_at; /**< time from which no older version may start a request */
 };
 
 struct model_versions {
@@ -29,12 +29,13 @@
     uint32_t count;
 };
 
-/** \brief A version was named; older or known ones are ignored. */
+/** \brief Add a named version; one that is not newer than all known ones is ignored.
+ * \param enforced_at time from which it is the minimum */
 void version_bounds_add(struct version_bounds *bounds, const char *model, uint64_t version,
                         uint64_t enforced_at);
-/** \return the newest version that was named; 0: none was */
+/** \return the newest named version; 0: none */
 uint64_t version_bounds_newest(const struct version_bounds *bounds, const char *model);
-/** \return the least version that may begin work now; 0: any */
+/** \return the minimum version that may start a request at `now`; 0: any */
 uint64_t version_bounds_minimum(const struct version_bounds *bounds, const char *model,
                                 uint64_t now);
 
--- a/src/core/wake_watch.h
+++ b/src/core/wake_watch.h
@@ -1,37 +1,37 @@
 /**
- * Tells that a process did not run for a while: its machine was suspended, or it stood still.
+ * Detects that the process did not run for a while: its machine was suspended, or it was stalled.
  *
- * While a machine is suspended the clock of the timers stands still, and the other one does not:
- * their difference shows it to the microsecond. A process that was stopped, or got no processor
- * time, shows by the time between two looks.
+ * While a machine is suspended, the clock of the timers stops and the clock of elapsed time goes
+ * on: their difference gives the pause to the microsecond. A process that was stopped, or got no
+ * CPU time, is detected by the time between two checks.
  */
 #ifndef SHUNTRUN_WAKE_WATCH_H
 #define SHUNTRUN_WAKE_WATCH_H
 
 #include <stdint.h>
 
-/** Two readings of the clocks, one after the other, differ by less. */
+/** Smallest difference of the clocks that counts as a suspension; reading them takes less. */
 #define WAKE_SUSPENDED_MIN_US ((uint64_t)10000)
-/** Time between two looks after which the process stood still; they are 0.1 s apart at most. */
+/** Time between two checks that counts as a stall; normally they are 0.1 s apart at most. */
 #define WAKE_STALLED_MIN_US ((uint64_t)1000000)
-/** After a pause of this length peers may have given up connections, and what others told is old:
- *  the platform's store is asked anew, and connections that were idle are not used. */
+/** After a pause of this length peers may have closed connections, and state from other nodes is
+ * old: the platform's store is read again, and idle connections are not reused. */
 #define WAKE_LONG_PAUSE_US ((uint64_t)1000000)
 
 enum wake_kind { WAKE_NONE, WAKE_STALLED, WAKE_SUSPENDED };
 
-/** A pause that is over. */
+/** A pause that has ended. */
 struct wake {
     enum wake_kind kind;
     uint64_t pause_us;
 };
 
 struct wake_watch {
-    uint64_t elapsed_us; /**< all time, at the last look; 0: there was none */
-    uint64_t timer_us;   /**< of the clock that stands still in a suspension */
+    uint64_t elapsed_us; /**< clock that counts all time, at the last check; 0: none yet */
+    uint64_t timer_us;   /**< clock that stops during a suspension, at the last check */
 };
 
-/** \brief Look at both clocks. \return the pause since the last look, if there was one */
+/** \brief Compare both clocks with the last check. \return the pause since then, if any */
 static inline struct wake wake_watch_check(struct wake_watch *watch, uint64_t elapsed_us,
                                            uint64_t timer_us)
 {
@@ -48,7 +48,7 @@
     return (struct wake){WAKE_NONE, 0};
 }
 
-/** \return the word for logs */
+/** \return name of the kind in log lines */
 static inline const char *wake_kind_name(enum wake_kind kind)
 {
     return kind == WAKE_SUSPENDED ? "suspended" : kind == WAKE_STALLED ? "stood-still" : "none";
--- a/tests/core/fleet_members.h
+++ b/tests/core/fleet_members.h
@@ -1,5 +1,5 @@
 /**
- * A membership as one node of a made-up fleet sees it: gateways first, then loaders, spread over
+ * The member table of one node of a synthetic fleet: gateways first, then loaders, assigned to
  * regions in turn. Addresses are the indexes plus 1.
  */
 #ifndef SHUNTRUN_FLEET_MEMBERS_H
@@ -14,7 +14,7 @@
 #define FLEET_MEMBERS (FLEET_GATEWAYS + FLEET_LOADERS)
 #define FLEET_REGIONS 3
 
-/** Rate of a member's link, Mbit/s. */
+/** Link rate of the member with an index, Mbit/s. */
 typedef uint32_t fleet_link_rate(uint32_t index);
 
 static inline void fleet_discard_message(void *context, uint32_t address,
@@ -45,7 +45,7 @@
     membership_receive(membership, 9999, &message, 1000);
 }
 
-/** \brief The fleet as the member `self_index` sees it. \param link NULL: rates are not known */
+/** \brief Create the table of the member `self_index`. \param link NULL: rates are unknown */
 static inline struct membership *fleet_view_of(uint32_t self_index, fleet_link_rate *link)
 {
     static const struct membership_settings settings = {.probe_period_us = 1000000};
--- a/tests/core/fleet_start_test.c
+++ b/tests/core/fleet_start_test.c
@@ -1,7 +1,7 @@
 /*
- * Hundreds of members that start at once, lose a region, or hear of one that leaves, on a virtual
- * clock and a network with narrow ways: each node's link, and the way from each region to each
- * other one, carries its bytes one after the other.
+ * Convergence of hundreds of members that start at once, lose a region, or learn that one leaves,
+ * on a simulated clock and network: the link of each node, and the link from each region to each
+ * other one, has a limited rate and transmits its bytes in sequence.
  */
 #include "testing.h"
 
@@ -15,21 +15,20 @@
 #define SEEDS 3
 #define SECOND 1000000ULL
 #define STEP_US 1000ULL
-/** Nodes tick often at first, as cluster/cluster.c does until the state and most members are known.
- */
+/** Nodes tick faster until the state and most members are known, as in cluster/cluster.c. */
 #define FIRST_TICKS_US (2 * SECOND)
 #define FIRST_TICK_US 25000ULL
 #define TICK_US 100000ULL
-/** Nodes start within this time, seeds at its end. */
+/** Nodes start within this time, and seeds at its end. */
 #define START_SPREAD_US 300000ULL
-#define BORDER_MBIT 30.0
+#define INTERREGION_MBIT 30.0
 #define GATEWAY_MBIT 40.0
 #define LOADER_MBIT 9.4
 #define HEADER_BYTES 28
-/** A way drops what would wait for longer. */
+/** A link drops datagrams that would queue for longer. */
 #define QUEUE_US 200000ULL
-#define NEAR_DELAY_US 300ULL
-#define FAR_DELAY_US 1800ULL
+#define LOCAL_DELAY_US 300ULL
+#define INTERREGION_DELAY_US 1800ULL
 #define LOST_PER_THOUSAND 2
 
 struct datagram {
@@ -49,27 +48,27 @@
     uint32_t region;
     uint64_t starts_at;
     uint64_t next_tick;
-    uint64_t link_free_at; /* outwards */
+    uint64_t link_free_at; /* outgoing link */
     uint64_t sent_bytes;
-    uint64_t complete_at; /* it knew all; 0: not yet */
+    uint64_t complete_at; /* time at which it knew all members; 0: not yet */
 };
 
 struct world {
     struct node *nodes;
     uint32_t count;
-    uint32_t gateways; /* the first ones; loaders follow */
+    uint32_t gateways; /* the first nodes; loaders follow */
     struct random_stream random;
     uint64_t now;
-    uint64_t border_free_at[REGIONS][REGIONS];
-    uint64_t border_bytes;
+    uint64_t interregion_free_at[REGIONS][REGIONS];
+    uint64_t interregion_bytes;
     uint64_t dropped;
-    uint32_t cut_region;   /* nothing passes between it and others; REGIONS: none */
-    struct datagram *heap; /* the one that arrives first on top */
+    uint32_t partitioned_region; /* partitioned from the others; REGIONS: none */
+    struct datagram *heap;       /* by time of arrival, the earliest on top */
     uint32_t queued;
     uint32_t capacity;
 };
 
-/* --- datagrams under way -------------------------------------------------------------------------
+/* --- datagrams in transit ------------------------------------------------------------------------
  */
 
 static void push(struct world *world, const struct datagram *datagram)
@@ -107,8 +106,9 @@
     return first;
 }
 
-/* Pass bytes over a way. \return the time at which they are through, 0: dropped */
-static uint64_t pass(struct world *world, uint64_t *free_at, uint64_t at, size_t bytes, double mbit)
+/* Transmits bytes over a link. \return the time at which the last one is sent, 0: dropped */
+static uint64_t transmit(struct world *world, uint64_t *free_at, uint64_t at, size_t bytes,
+                         double mbit)
 {
     uint64_t begin = *free_at > at ? *free_at : at;
     if (begin > at + QUEUE_US) {
@@ -128,21 +128,22 @@
     uint32_t to = address - 1;
     node->sent_bytes += wire;
     double rate = node->index < world->gateways ? GATEWAY_MBIT : LOADER_MBIT;
-    uint64_t at = pass(world, &node->link_free_at, world->now, wire, rate);
+    uint64_t at = transmit(world, &node->link_free_at, world->now, wire, rate);
     if (!at || to >= world->count || random_below(&world->random, 1000) < LOST_PER_THOUSAND)
         return;
     uint32_t region = world->nodes[to].region;
     if (region != node->region) {
-        if (region == world->cut_region || node->region == world->cut_region)
+        if (region == world->partitioned_region || node->region == world->partitioned_region)
             return;
-        world->border_bytes += wire;
-        at = pass(world, &world->border_free_at[node->region][region], at, wire, BORDER_MBIT);
+        world->interregion_bytes += wire;
+        at = transmit(world, &world->interregion_free_at[node->region][region], at, wire,
+                      INTERREGION_MBIT);
         if (!at)
             return;
     }
     uint8_t *bytes = malloc(size);
     shuntrun__member_message__pack(message, bytes);
-    at += region == node->region ? NEAR_DELAY_US : FAR_DELAY_US;
+    at += region == node->region ? LOCAL_DELAY_US : INTERREGION_DELAY_US;
     push(world, &(struct datagram){at, node->index, to, size, bytes});
 }
 
@@ -179,8 +180,8 @@
     if (!node->membership)
         node_start(world, node);
     membership_tick(node->membership, world->now);
-    bool young = world->now < node->starts_at + FIRST_TICKS_US;
-    node->next_tick = world->now + (young ? FIRST_TICK_US : TICK_US);
+    bool recently_started = world->now < node->starts_at + FIRST_TICKS_US;
+    node->next_tick = world->now + (recently_started ? FIRST_TICK_US : TICK_US);
     if (!node->complete_at && alive_at(node) == world->count)
         node->complete_at = world->now;
 }
@@ -215,7 +216,7 @@
     world->random.seed = seed;
     world->gateways = gateways;
     world->count = gateways + loaders;
-    world->cut_region = REGIONS;
+    world->partitioned_region = REGIONS;
     world->now = 5 * SECOND;
     world->nodes = calloc(world->count, sizeof *world->nodes);
     for (uint32_t i = 0; i < world->count; i++) {
@@ -248,10 +249,10 @@
 }
 
 struct start_result {
-    double median_s; /* time until half of the nodes know all */
+    double median_s; /* time until half of the nodes know all members */
     double last_s;
-    double border_kb; /* a node */
-    double most_kb;   /* sent by one node */
+    double interregion_kb; /* between regions, per node */
+    double most_kb;        /* greatest number sent by one node */
 };
 
 static struct start_result measure_start(uint32_t gateways, uint32_t loaders, uint64_t seed)
@@ -259,59 +260,60 @@
     struct world *world = world_create(gateways, loaders, seed);
     uint64_t begin = world->now;
     uint64_t *times = calloc(world->count, sizeof *times);
-    struct start_result figures = {0};
+    struct start_result result = {0};
     run_for(world, 5 * SECOND / 2);
     for (uint32_t i = 0; i < world->count; i++) {
         const struct node *node = &world->nodes[i];
         times[i] = node->complete_at ? node->complete_at - begin : 99 * SECOND;
         double kb = (double)node->sent_bytes / 1000;
-        figures.most_kb = kb > figures.most_kb ? kb : figures.most_kb;
+        result.most_kb = kb > result.most_kb ? kb : result.most_kb;
     }
     qsort(times, world->count, sizeof *times, compare_times);
-    figures.median_s = (double)times[world->count / 2] / SECOND;
-    figures.last_s = (double)times[world->count - 1] / SECOND;
-    figures.border_kb = (double)world->border_bytes / 1000 / world->count;
-    printf("%u members: half know all after %.2f s, the last after %.2f s; %.1f kB a node between "
-           "regions, %.0f kB sent by the busiest, %llu dropped\n",
-           world->count, figures.median_s, figures.last_s, figures.border_kb, figures.most_kb,
-           (unsigned long long)world->dropped);
+    result.median_s = (double)times[world->count / 2] / SECOND;
+    result.last_s = (double)times[world->count - 1] / SECOND;
+    result.interregion_kb = (double)world->interregion_bytes / 1000 / world->count;
+    printf(
+        "%u members: half know all after %.2f s, the last after %.2f s; %.1f kB per node between "
+        "regions, %.0f kB sent by the busiest node, %llu datagrams dropped\n",
+        world->count, result.median_s, result.last_s, result.interregion_kb, result.most_kb,
+        (unsigned long long)world->dropped);
     free(times);
     world_destroy(world);
-    return figures;
+    return result;
 }
 
 static void fleet_of_353_converges_after_simultaneous_start(void **state)
 {
-    struct start_result figures = measure_start(149, 204, 1);
-    assert_true(figures.median_s < 0.9); /* seeds begin after 0.3 s */
-    assert_true(figures.last_s < 1.3);
-    assert_true(figures.border_kb < 40);
-    assert_true(figures.most_kb < 500);
+    struct start_result result = measure_start(149, 204, 1);
+    assert_true(result.median_s < 0.9); /* seeds start after 0.3 s */
+    assert_true(result.last_s < 1.3);
+    assert_true(result.interregion_kb < 40);
+    assert_true(result.most_kb < 500);
 }
 
 static void fleet_of_1000_converges_after_simultaneous_start(void **state)
 {
-    struct start_result figures = measure_start(330, 670, 2);
-    assert_true(figures.median_s < 1.7);
-    assert_true(figures.last_s < 2.0);
-    assert_true(figures.border_kb < 60);
-    assert_true(figures.most_kb < 1000);
+    struct start_result result = measure_start(330, 670, 2);
+    assert_true(result.median_s < 1.7);
+    assert_true(result.last_s < 2.0);
+    assert_true(result.interregion_kb < 60);
+    assert_true(result.most_kb < 1000);
 }
 
-/* \return time until all living nodes know that a gateway drains */
+/* \return time until all live nodes know that a gateway drains, us */
 static uint64_t draining_spread_time(struct world *world, uint32_t leaving)
 {
     uint64_t begin = world->now;
     struct membership *membership = world->nodes[leaving].membership;
     membership_self(membership)->draining = true;
     membership_self_changed(membership);
-    for (uint32_t i = 0; i < world->gateways; i++) /* as a gateway that stops does */
+    for (uint32_t i = 0; i < world->gateways; i++) /* as a stopping gateway does */
         if (i != leaving)
             membership_send_update(membership, i + 1);
-    for (uint32_t knowing = 0; knowing + 1 < world->count; run_for(world, STEP_US)) {
-        knowing = 0;
+    for (uint32_t aware = 0; aware + 1 < world->count; run_for(world, STEP_US)) {
+        aware = 0;
         for (uint32_t i = 0; i < world->count; i++)
-            knowing +=
+            aware +=
                 i != leaving && membership_find(world->nodes[i].membership, leaving + 1)->draining;
         if (world->now > begin + 20 * SECOND)
             break;
@@ -336,12 +338,12 @@
         uint64_t before = all_bytes(world);
         run_for(world, 3 * SECOND);
         double rate = (double)(all_bytes(world) - before) / 3 / world->count;
-        double told_s = (double)draining_spread_time(world, 40) / SECOND;
-        printf("%u members: %.0f bytes a second and node, a leaving gateway known to all after "
+        double spread_s = (double)draining_spread_time(world, 40) / SECOND;
+        printf("%u members: %.0f bytes per second and node, draining gateway known to all after "
                "%.2f s\n",
-               world->count, rate, told_s);
+               world->count, rate, spread_s);
         assert_true(rate < 800);
-        assert_true(told_s < 4);
+        assert_true(spread_s < 4);
         world_destroy(world);
     }
 }
@@ -350,10 +352,10 @@
 {
     struct world *world = world_create(149, 204, 4);
     run_for(world, 4 * SECOND);
-    world->cut_region = 2;
+    world->partitioned_region = 2;
     run_for(world, 12 * SECOND);
     assert_int_equal(alive_at(&world->nodes[2]), 70 + (2 < world->count % REGIONS));
-    world->cut_region = REGIONS;
+    world->partitioned_region = REGIONS;
     run_for(world, 8 * SECOND);
     for (uint32_t i = 0; i < world->count; i++)
         assert_int_equal(alive_at(&world->nodes[i]), world->count);
--- a/tests/core/membership_test.c
+++ b/tests/core/membership_test.c
@@ -1,4 +1,4 @@
-/* Membership on a virtual clock: messages lost, members dead, cut one way, paused or restarted. */
+/* Membership on a simulated clock: message loss, partitions, dead, paused and restarted members. */
 #include "testing.h"
 
 #include "core/membership.h"
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NODES_MOST 120
-#define SMALL 20
+#define MAX_NODES 120
+#define SMALL_FLEET 20
 #define TICK_US 50000ULL
 #define SECOND 1000000ULL
 #define DEAD_SEED 999
-#define QUEUE_MOST 65536
+#define MAX_QUEUED 65536
 
 struct datagram {
     uint32_t from;
@@ -32,14 +32,14 @@
 };
 
 struct world {
-    struct node nodes[NODES_MOST];
+    struct node nodes[MAX_NODES];
     uint32_t count;
     struct random_stream random;
     uint64_t now;
     uint32_t lost_percent;
-    uint32_t silent_to; /* nothing reaches this address */
-    uint32_t split;     /* nothing passes between addresses up to this one and others; 0: none */
-    struct datagram queue[QUEUE_MOST];
+    uint32_t unreachable; /* messages to this address are lost */
+    uint32_t partition;   /* partition between addresses up to this one and the others; 0: none */
+    struct datagram queue[MAX_QUEUED];
     uint32_t queued;
     uint64_t bytes_sent;
     size_t largest;
@@ -47,9 +47,9 @@
 
 static bool is_lost(struct world *world, uint32_t from, uint32_t to)
 {
-    if (world->split && (from <= world->split) != (to <= world->split))
+    if (world->partition && (from <= world->partition) != (to <= world->partition))
         return true;
-    return to == world->silent_to || random_below(&world->random, 100) < world->lost_percent;
+    return to == world->unreachable || random_below(&world->random, 100) < world->lost_percent;
 }
 
 static void on_send(void *context, uint32_t address, const Shuntrun__MemberMessage *message)
@@ -62,13 +62,13 @@
         world->largest = size;
     if (address > world->count || is_lost(world, node->address, address))
         return;
-    assert_true(world->queued < QUEUE_MOST);
+    assert_true(world->queued < MAX_QUEUED);
     uint8_t *bytes = malloc(size);
     shuntrun__member_message__pack(message, bytes);
     world->queue[world->queued++] = (struct datagram){node->address, address, size, bytes};
 }
 
-static void node_open(struct world *world, uint32_t index, uint64_t incarnation)
+static void node_start(struct world *world, uint32_t index, uint64_t incarnation)
 {
     struct node *node = &world->nodes[index];
     struct member_state self = {.address = index + 1,
@@ -118,7 +118,7 @@
     world->count = count;
     world->now = 5 * SECOND;
     for (uint32_t i = 0; i < count; i++)
-        node_open(world, i, 100);
+        node_start(world, i, 100);
     return world;
 }
 
@@ -148,22 +148,22 @@
 static void members_join_despite_dead_seed(void **state)
 {
     for (uint64_t seed = 1; seed <= 10; seed++) {
-        struct world *world = world_create(SMALL, seed, 10);
+        struct world *world = world_create(SMALL_FLEET, seed, 10);
         run_for(world, 2 * SECOND);
-        assert_all_count(world, SMALL);
+        assert_all_count(world, SMALL_FLEET);
         world_destroy(world);
     }
 }
 
-/* Heartbeats that were told by chance came too seldom for more than some fifty members. */
+/* Guards against randomly spread heartbeats: too rare for more than some fifty members. */
 static void large_fleet_converges_and_declares_no_live_member_dead(void **state)
 {
-    struct world *world = world_create(NODES_MOST, 3, 2);
+    struct world *world = world_create(MAX_NODES, 3, 2);
     run_for(world, 3 * SECOND);
-    assert_all_count(world, NODES_MOST);
+    assert_all_count(world, MAX_NODES);
     for (uint32_t second = 0; second < 20; second++) {
         run_for(world, SECOND);
-        assert_all_count(world, NODES_MOST);
+        assert_all_count(world, MAX_NODES);
     }
     world_destroy(world);
 }
@@ -171,7 +171,7 @@
 static void idle_traffic_per_node_is_independent_of_fleet_size(void **state)
 {
     double rates[2];
-    const uint32_t sizes[2] = {30, NODES_MOST};
+    const uint32_t sizes[2] = {30, MAX_NODES};
     for (uint32_t i = 0; i < 2; i++) {
         struct world *world = world_create(sizes[i], 3, 0);
         run_for(world, 15 * SECOND);
@@ -181,108 +181,107 @@
         assert_true(world->largest < 2048);
         world_destroy(world);
     }
-    printf("bytes a second and node: %.0f, %.0f\n", rates[0], rates[1]);
+    printf("bytes per second and node: %.0f, %.0f\n", rates[0], rates[1]);
     assert_true(rates[0] < 1000);
     assert_true(rates[1] < 1.1 * rates[0]);
 }
 
 static void only_dead_members_are_declared_dead(void **state)
 {
-    struct world *world = world_create(NODES_MOST, 3, 2);
+    struct world *world = world_create(MAX_NODES, 3, 2);
     run_for(world, 5 * SECOND);
     for (uint32_t i = 0; i < 5; i++)
         world->nodes[i * 4].down = true;
     run_for(world, 5 * SECOND);
-    assert_all_count(world, NODES_MOST - 5);
+    assert_all_count(world, MAX_NODES - 5);
     world_destroy(world);
 }
 
 static void death_of_most_members_at_once_is_detected(void **state)
 {
-    struct world *world = world_create(NODES_MOST, 8, 2);
+    struct world *world = world_create(MAX_NODES, 8, 2);
     run_for(world, 5 * SECOND);
-    for (uint32_t i = 0; i < NODES_MOST; i++)
+    for (uint32_t i = 0; i < MAX_NODES; i++)
         world->nodes[i].down = i % 5 != 0;
     run_for(world, 25 * SECOND);
-    assert_all_count(world, NODES_MOST / 5);
+    assert_all_count(world, MAX_NODES / 5);
     world_destroy(world);
 }
 
 static void restart_with_lower_incarnation_is_accepted(void **state)
 {
-    struct world *world = world_create(SMALL, 4, 0);
+    struct world *world = world_create(SMALL_FLEET, 4, 0);
     run_for(world, 4 * SECOND);
     membership_destroy(world->nodes[7].membership);
-    node_open(world, 7, 40); /* an older incarnation than the one remembered */
+    node_start(world, 7, 40); /* lower than the incarnation that the others know */
     run_for(world, 4 * SECOND);
-    assert_all_count(world, SMALL);
+    assert_all_count(world, SMALL_FLEET);
     assert_true(membership_self(world->nodes[7].membership)->incarnation > 100);
     world_destroy(world);
 }
 
 static void paused_member_returns_without_declaring_others_dead(void **state)
 {
-    struct world *world = world_create(SMALL, 5, 0);
+    struct world *world = world_create(SMALL_FLEET, 5, 0);
     run_for(world, 4 * SECOND);
     world->nodes[6].paused = true;
     run_for(world, 5 * SECOND);
-    assert_int_equal(alive_at(world, 3), SMALL - 1);
+    assert_int_equal(alive_at(world, 3), SMALL_FLEET - 1);
     world->nodes[6].paused = false;
     for (uint32_t i = 0; i < 10; i++) {
         run_for(world, SECOND / 2);
-        assert_int_equal(alive_at(world, 6), SMALL);
+        assert_int_equal(alive_at(world, 6), SMALL_FLEET);
     }
-    assert_all_count(world, SMALL);
+    assert_all_count(world, SMALL_FLEET);
     world_destroy(world);
 }
 
-/* A member that gets nothing hears from nobody: it must not hold the others for dead at once. */
+/* A member whose incoming messages are all lost must not declare the others dead at once. */
 static void member_without_incoming_messages_declares_nobody_dead(void **state)
 {
-    struct world *world = world_create(SMALL, 6, 0);
+    struct world *world = world_create(SMALL_FLEET, 6, 0);
     run_for(world, 4 * SECOND);
-    world->silent_to = 9;
+    world->unreachable = 9;
     run_for(world, 3 * SECOND);
-    assert_int_equal(alive_at(world, 8), SMALL);
+    assert_int_equal(alive_at(world, 8), SMALL_FLEET);
     run_for(world, 4 * SECOND);
-    assert_int_equal(alive_at(world, 3), SMALL - 1);
-    world->silent_to = 0;
+    assert_int_equal(alive_at(world, 3), SMALL_FLEET - 1);
+    world->unreachable = 0;
     run_for(world, 4 * SECOND);
-    assert_all_count(world, SMALL);
+    assert_all_count(world, SMALL_FLEET);
     world_destroy(world);
 }
 
 static void partitioned_groups_merge_again(void **state)
 {
-    struct world *world = world_create(SMALL, 7, 0);
+    struct world *world = world_create(SMALL_FLEET, 7, 0);
     run_for(world, 4 * SECOND);
-    world->split = 8;
+    world->partition = 8;
     run_for(world, 12 * SECOND);
     assert_int_equal(alive_at(world, 0), 8);
-    assert_int_equal(alive_at(world, 12), SMALL - 8);
-    world->split = 0;
+    assert_int_equal(alive_at(world, 12), SMALL_FLEET - 8);
+    world->partition = 0;
     run_for(world, 6 * SECOND);
-    assert_all_count(world, SMALL);
+    assert_all_count(world, SMALL_FLEET);
     world_destroy(world);
 }
 
 static void change_of_member_reaches_all_members(void **state)
 {
-    struct world *world = world_create(NODES_MOST, 9, 2);
+    struct world *world = world_create(MAX_NODES, 9, 2);
     run_for(world, 5 * SECOND);
     struct membership *leaving = world->nodes[30].membership;
     membership_self(leaving)->draining = true;
     membership_self_changed(leaving);
     run_for(world, 3 * SECOND);
-    for (uint32_t i = 0; i < NODES_MOST; i++)
+    for (uint32_t i = 0; i < MAX_NODES; i++)
         if (i != 30)
             assert_true(membership_find(world->nodes[i].membership, 31)->draining);
     world_destroy(world);
 }
 
-/* Whoever counts the dead as known would keep a node that joins later from ever being settled. */
-/* Guards against weights that were not whole: a put of an earlier process of a loader came late,
- * and its next process did not know that there had been one. */
+/* Guards against incomplete weights: a put of a loader's earlier process arrived late, and its
+ * next process did not know that there had been an earlier one. */
 static void earlier_process_of_member_is_remembered(void **state)
 {
     struct world *world = world_create(3, 1, 0);
@@ -292,7 +291,7 @@
     uint64_t now = world->now;
     membership_record_contact(membership, 2, now);
     membership_record_engine_start(membership, 2, 77);
-    /* The same process says that it is young: nothing came before it. */
+    /* The same process reports a recent start: nothing was received before it. */
     assert_false(membership_record_process_start(membership, 2, now - SECOND));
     assert_int_equal(member->earlier_heard_at, 0);
     uint64_t started_at = now + SECOND;
@@ -307,16 +306,17 @@
     world_destroy(world);
 }
 
+/* If dead members counted as known, a node that joins later would never converge. */
 static void member_joining_after_many_deaths_is_converged(void **state)
 {
-    struct world *world = world_create(SMALL, 10, 0);
+    struct world *world = world_create(SMALL_FLEET, 10, 0);
     world->nodes[19].down = true;
     run_for(world, 4 * SECOND);
     for (uint32_t i = 8; i < 19; i++)
         world->nodes[i].down = true;
     run_for(world, 8 * SECOND);
     membership_destroy(world->nodes[19].membership);
-    node_open(world, 19, 300);
+    node_start(world, 19, 300);
     run_for(world, 2 * SECOND);
     assert_int_equal(alive_at(world, 19), 9);
     assert_true(membership_is_converged(world->nodes[19].membership));
--- a/tests/core/news_targets_test.c
+++ b/tests/core/news_targets_test.c
@@ -1,4 +1,4 @@
-/* Who is told of a change by the operator: everybody soon, and nobody by all. */
+/* Recipients of a change by the operator: every node is reached soon, and none by all others. */
 #include "testing.h"
 
 #include "core/fleet_members.h"
@@ -40,7 +40,7 @@
     membership_destroy(membership);
 }
 
-/* Few gateways are responsible for many loaders each: nobody is left out. */
+/* With few gateways each is responsible for many loaders; no loader is left out. */
 static void single_gateway_targets_all_loaders(void **state)
 {
     uint32_t count;
--- a/tests/core/reader_role_test.c
+++ b/tests/core/reader_role_test.c
@@ -1,4 +1,4 @@
-/* Which gateways read the platform's store. */
+/* Which gateways read the platform's store, and at which rate. */
 #include "testing.h"
 
 #include "core/reader_role.h"
@@ -38,7 +38,7 @@
 
 #define NOBODY UINT32_MAX
 
-/* All readers say whether the store answers them; one of them, if any, says that it does not. */
+/* All readers announce the store health; `failing`, if any, announces that it is bad. */
 static void announce_store_health_except(struct fixture *fixture, bool healthy, uint32_t failing)
 {
     for (uint32_t i = 0; i < fixture->count; i++) {
@@ -95,7 +95,7 @@
         membership_destroy(fixture->nodes[i]);
 }
 
-/* The state has reached all. */
+/* The state has reached all gateways. */
 static void set_state_known(struct fixture *fixture)
 {
     for (uint32_t i = 0; i < fixture->count; i++)
@@ -108,7 +108,7 @@
     open_fixture(&fixture, GATEWAYS);
     assert_int_equal(run_for(&fixture, 100000), 0);
     assert_int_equal(run_for(&fixture, 300000), REGIONS);
-    assert_int_equal(run_for(&fixture, 200000), 2 * REGIONS); /* nobody got an answer yet */
+    assert_int_equal(run_for(&fixture, 200000), 2 * REGIONS); /* no reader got an answer yet */
     close_fixture(&fixture);
 }
 
@@ -126,7 +126,7 @@
     close_fixture(&fixture);
 }
 
-/* Who stood by must not go on at its slow pace once the leader has no answers. */
+/* The standby must not go on with its longer delay once the leader gets no answers. */
 static void standby_takes_over_when_leader_gets_no_answers(void **state)
 {
     struct fixture fixture;
@@ -157,7 +157,7 @@
     assert_int_equal(reader_role_batch_delay_ms(READER_STANDBY, 700), 200);
 }
 
-/* It heard of hundreds and knows a few: its own place among them would be a guess. */
+/* Others report hundreds of members and it knows a few: its own rank would be wrong. */
 static void unconverged_gateway_waits_before_ranking_itself(void **state)
 {
     struct fixture fixture;
@@ -167,11 +167,11 @@
     for (uint32_t i = 0; i < fixture.count; i++)
         membership_receive(fixture.nodes[i], (i + 1) % fixture.count + 1, &message, fixture.now);
     assert_int_equal(run_for(&fixture, 700000), 0);
-    assert_true(run_for(&fixture, 300000) > 0); /* those may be dead of whom it heard */
+    assert_true(run_for(&fixture, 300000) > 0); /* the reported members may be dead */
     close_fixture(&fixture);
 }
 
-/* \return time until a gateway that knows nobody reads */
+/* \return time until a gateway without known peers reads, us */
 static uint64_t time_until_reading_without_peers(uint32_t address)
 {
     static const struct membership_settings settings = {.probe_period_us = 1000000};
@@ -198,7 +198,7 @@
     assert_in_range(early, 12, 40); /* one in sixteen */
 }
 
-/* The list that a node gets from others is as good as theirs. */
+/* State that a node receives from others is as current as theirs. */
 static void store_counts_as_healthy_while_any_gateway_gets_answers(void **state)
 {
     struct fixture fixture;
@@ -206,7 +206,7 @@
     set_state_known(&fixture);
     run_for(&fixture, 300000);
     announce_store_health(&fixture, true);
-    membership_self(fixture.nodes[0])->store_sound = false; /* the store turns it away */
+    membership_self(fixture.nodes[0])->store_sound = false; /* the store rejects its calls */
     assert_true(reader_role_any_reader_is_healthy(fixture.nodes[0]));
     announce_store_health(&fixture, false);
     assert_false(reader_role_any_reader_is_healthy(fixture.nodes[0]));
@@ -237,7 +237,7 @@
     close_fixture(&fixture);
 }
 
-/* The own state is written several times between two looks; the change must not get lost in it. */
+/* The own state is written several times between two updates; the change must not get lost. */
 static void change_of_store_health_is_announced_once(void **state)
 {
     struct reader_role role = {0};
--- a/tests/core/state_cache_test.c
+++ b/tests/core/state_cache_test.c
@@ -1,4 +1,4 @@
-/* Copies of what the platform publishes merge in any order and never go back. */
+/* Copies of the platform state merge in any order, and no item reverts to an older revision. */
 #include "testing.h"
 
 #include "core/state_cache.h"
@@ -98,7 +98,7 @@
     state_cache_snapshot_begin(cache, "");
     state_cache_snapshot_end(cache, "", 10, &no_removal);
     state_cache_advance(cache, 10);
-    assert_true(state_cache_has_delta_for(cache, 4)); /* what was here then is known to have gone */
+    assert_true(state_cache_has_delta_for(cache, 4)); /* items held at 4 are known to be removed */
     assert_false(state_cache_has_delta_for(cache, 5));
     assert_true(state_cache_has_delta_for(cache, 10));
     assert_false(state_cache_has_delta_since(cache, 4));
--- a/tests/core/store_outage_test.c
+++ b/tests/core/store_outage_test.c
@@ -1,20 +1,18 @@
 /*
- * An engine that leaves after an outage of the platform's store gets no new work.
+ * An engine that leaves after an outage of the platform's store gets no new work past the drain
+ * bound.
  *
- * Symptom: a request reached an engine 2,062 ms after the store had acknowledged that it leaves;
- * the bound is 2,000 ms. Sequence: a silence of the store swallowed the watches of all gateways,
- * which noticed only when the watches timed out, up to 3 s later. The store had long worked again,
- * but until the next answer they held it for failing. An engine left in that time without a word.
- * Its entry went, the gateways took that for one of the entries that a failing store loses, and
- * kept the engine for 2.5 s. Cause: the doubt went by what a gateway thought of the store when it
- * heard of the drop, not by whether the drop can have happened in the outage. What settled it, from
- * the gateways' logs, an engine gone at 18.95 s after an outage that ended at 15.32 s:
+ * Guards against a request that reached an engine 2,062 ms after the store had acknowledged that it
+ * leaves; the bound is 2,000 ms. An outage swallowed the watches of all gateways, which noticed it
+ * only when these timed out, up to 3 s later. Until their next answer the gateways took the store
+ * for failing, although it worked again. An engine that left in that time was taken for an entry
+ * that the outage had lost, and stayed usable for 2.5 s: the outage ended at 15.32 s, the engine
+ * was removed at 18.95 s (event=gone, usable_ms=2500, doubtful=1, store_sound=0) and got a request
+ * at 21.08 s (event=sent-unlisted, unlisted_ms=2128). The decision went by the store health that a
+ * gateway saw when it learned of the removal, not by whether the removal can have happened in the
+ * outage.
  *
- *   18.225 event=lost reason="no answer"
- *   18.955 event=gone age_ms=0 usable_ms=2500 doubtful=1 store_sound=0
- *   21.083 event=sent-unlisted unlisted_ms=2128 usable_ms=392 doubtful=1
- *
- * A store, its gateways and one engine on a virtual clock of milliseconds.
+ * Simulates a store, its gateways and one engine on a clock of milliseconds.
  */
 #include "testing.h"
 
@@ -28,24 +26,24 @@
 #define GATEWAYS 7
 #define TICK_MS 100
 #define BATCH_DELAY_MS 200
-/** One way between a gateway and the store. */
+/** One-way delay between a gateway and the store. */
 #define DELAY_MS 2
-/** After it an engine that leaves gets no new work. */
+/** Drain bound: afterwards an engine that leaves gets no new work. */
 #define DRAIN_MS 2000
-/** So long after an outage nodes count as in touch with the store again. */
+/** Time after an outage in which nodes reconnect to the store. */
 #define CONTACT_MS 3000
-/** In so long engines that the store lost in an outage list themselves again. */
+/** Time in which engines that the store lost in an outage list themselves again. */
 #define RELIST_MS 2000
 
 static const struct backend_pool_settings pool_settings = {
     .queue_per_engine = 3, .tokens_per_engine = 4500, .unlisted_us = 1400 * MS_US};
 
-/** What happens in one session, in ms. */
+/** Events of one session, in ms. */
 struct script {
-    uint64_t change_at;    /**< answers all watches, so that all begin anew at the same time */
-    uint64_t silent_from;  /**< calls that begin, or would be answered, from here on */
-    uint64_t silent_until; /**< to here are never answered */
-    uint64_t drop_at;      /**< the engine's entry goes */
+    uint64_t change_at;    /**< answers all watches, so that all start again at the same time */
+    uint64_t silent_from;  /**< calls that start, or would be answered, from here */
+    uint64_t silent_until; /**< to here get no answer */
+    uint64_t drop_at;      /**< the engine's entry is removed */
 };
 
 struct gateway {
@@ -54,11 +52,11 @@
     struct backend *engine;
     struct store_call call;
     bool calling;
-    bool lost;           /**< the call under way will never be answered */
-    uint64_t begun;      /**< of the call under way */
-    uint64_t next_call;  /**< time of it while none is under way */
-    uint64_t revision;   /**< of the store that the last answer told */
-    uint64_t learned_at; /**< time at which the drop was heard of, 0: not yet */
+    bool lost;           /**< the current call will get no answer */
+    uint64_t begun;      /**< start of the current call */
+    uint64_t next_call;  /**< start of the next one, while there is no current call */
+    uint64_t revision;   /**< of the store in the last answer */
+    uint64_t learned_at; /**< time at which the removal was learned, 0: not yet */
 };
 
 struct session {
@@ -178,8 +176,8 @@
     return count;
 }
 
-/* Outages of many lengths that begin before and after all gateways begin a watch at 1.2 s, and that
- * each swallow a call. */
+/* Outages of many lengths that begin before and after all gateways start a watch at 1.2 s, each of
+ * which swallows a call. */
 #define FOR_EACH_OUTAGE(script)                                                                    \
     for (uint64_t before = 0; before <= 400; before += 50)                                         \
         for (uint64_t length = before < 200 ? 250 : 2300; length <= 4600; length += 150)           \
@@ -203,7 +201,7 @@
     }
 }
 
-/* The purpose of the doubt: what an outage loses lives, and lists itself again. */
+/* An engine that an outage of the store loses still runs, and lists itself again. */
 static void engine_dropped_by_outage_stays_usable_until_relisted(void **state)
 {
     FOR_EACH_OUTAGE(script)
--- a/tests/core/store_watch_test.c
+++ b/tests/core/store_watch_test.c
@@ -1,4 +1,4 @@
-/* Which call to the platform's store comes next, and when. */
+/* The next call to the platform's store, and its time. */
 #include "testing.h"
 
 #include "core/store_watch.h"
@@ -8,7 +8,7 @@
     struct store_watch watch;
     store_watch_init(&watch, 0, 1);
     assert_false(store_watch_next_call(&watch).watches);
-    store_watch_answered(&watch, 0, 2); /* a page of several */
+    store_watch_answered(&watch, 0, 2); /* one of several pages */
     assert_false(store_watch_next_call(&watch).watches);
     store_watch_answered(&watch, 17, 2);
     assert_true(store_watch_next_call(&watch).watches);
@@ -20,7 +20,7 @@
     struct store_watch watch;
     store_watch_init(&watch, 17, 1);
     assert_true(store_watch_next_call(&watch).watches);
-    assert_false(store_watch_is_healthy(&watch)); /* nothing is known of the store yet */
+    assert_false(store_watch_is_healthy(&watch)); /* the store has not answered yet */
 }
 
 static void lost_history_requires_new_snapshot(void **state)
@@ -62,11 +62,11 @@
     store_watch_answered(&watch, 17, 2);
     struct store_call usual = store_watch_next_call(&watch);
     assert_int_equal(store_watch_failed(&watch, STORE_TIMED_OUT), 0);
-    struct store_call check = store_watch_next_call(&watch);
-    assert_true(check.watches);
-    assert_true(check.wait_ms < 100);
-    /* The next answer comes within the 3 s in which nodes get back in touch. */
-    assert_true(usual.timeout_ms + check.wait_ms < 2900);
+    struct store_call retry = store_watch_next_call(&watch);
+    assert_true(retry.watches);
+    assert_true(retry.wait_ms < 100);
+    /* The next answer comes within the 3 s in which nodes reconnect after an outage. */
+    assert_true(usual.timeout_ms + retry.wait_ms < 2900);
     assert_true(store_watch_failed(&watch, STORE_TIMED_OUT) > 0);
 }
 
@@ -85,7 +85,7 @@
     assert_true(store_watch_removal(&watch, false, 13).from_outage);
 }
 
-/* It forgets its history and cuts its watches, which lapses no entry: what is missing has left. */
+/* Dropping history and disconnecting watches loses no entry: missing items have left. */
 static void lost_history_is_not_an_outage(void **state)
 {
     struct store_watch watch;
@@ -93,10 +93,10 @@
     store_watch_answered(&watch, 17, 2);
     store_watch_failed(&watch, STORE_DISCONNECTED);
     store_watch_history_lost(&watch);
-    store_watch_answered(&watch, 0, 20); /* a page of several */
+    store_watch_answered(&watch, 0, 20); /* one of several pages */
     struct state_removal loss = store_watch_removal(&watch, false, 30);
     assert_false(loss.from_outage);
-    assert_int_equal(loss.learned, 2); /* it may have gone since then */
+    assert_int_equal(loss.learned, 2); /* it may have been removed since then */
     store_watch_answered(&watch, 40, 30);
     assert_int_equal(store_watch_removal(&watch, false, 50).learned, 50);
 }
--- a/tests/core/version_bounds_test.c
+++ b/tests/core/version_bounds_test.c
@@ -1,4 +1,4 @@
-/* Versions that may begin work, and turns of engines. */
+/* Weight versions that may start requests, and start turns of engines. */
 #include "testing.h"
 
 #include "core/start_turn.h"
@@ -9,7 +9,7 @@
     struct version_bounds bounds = {0};
     version_bounds_add(&bounds, "m", 2, 1000);
     version_bounds_add(&bounds, "m", 4, 3000);
-    version_bounds_add(&bounds, "m", 3, 500); /* older than what is known: no news */
+    version_bounds_add(&bounds, "m", 3, 500); /* older than a known one: ignored */
     assert_int_equal(version_bounds_newest(&bounds, "m"), 4);
     assert_int_equal(version_bounds_newest(&bounds, "other"), 0);
     assert_int_equal(version_bounds_minimum(&bounds, "m", 999), 0);
--- a/tests/core/wake_watch_test.c
+++ b/tests/core/wake_watch_test.c
@@ -1,4 +1,4 @@
-/* Whether a process did not run for a while, and why. */
+/* Detection of pauses of a process, and of their kind. */
 #include "testing.h"
 
 #include "core/wake_watch.h"
@@ -25,7 +25,7 @@
     struct wake wake = wake_watch_check(&watch, 905 * SECOND, 500 * SECOND + 40 * MS);
     assert_int_equal(wake.kind, WAKE_SUSPENDED);
     assert_int_equal(wake.pause_us, 5 * SECOND - 40 * MS);
-    /* It is told once, and the next one again. */
+    /* Each suspension is reported once. */
     assert_int_equal(wake_watch_check(&watch, 905 * SECOND + MS, 500 * SECOND + 41 * MS).kind,
                      WAKE_NONE);
     wake = wake_watch_check(&watch, 905 * SECOND + 51 * MS, 500 * SECOND + 41 * MS);
