--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -29,25 +29,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** Size of a zone or region name, bytes, with the terminating zero. */
 #define MEMBER_NAME_SIZE 64
 
+/** Values are those of MemberNews.role. */
 enum member_role { MEMBER_GATEWAY = 1, MEMBER_LOADER = 2 };
 
+/** Values are those of MemberNews.health; within one incarnation the greater one wins. */
 enum member_health {
     MEMBER_ALIVE = 1,
     MEMBER_SUSPECT = 2, /**< did not acknowledge; may still refute */
     MEMBER_DEAD = 3,    /**< did not refute in time */
 };
 
+/** What a node knows of a member, or of itself. */
 struct member_state {
-    uint32_t address; /**< IPv4, host byte order; the identity of a member */
-    uint64_t incarnation;
+    uint32_t address;     /**< IPv4, host byte order; the identity of a member */
+    uint64_t incarnation; /**< grows with each start and refutation; greater ones win */
     enum member_health health;
     enum member_role role;
     char zone[MEMBER_NAME_SIZE];
     char region[MEMBER_NAME_SIZE];
     bool draining;
-    uint16_t traffic_port;
+    uint16_t traffic_port;      /**< where callers reach it, 0: nowhere */
     uint32_t link_mbit;         /**< rate of its machine's link, Mbit/s; 0: not known */
     uint64_t state_revision;    /**< platform state that it knows, as of its last message */
     uint64_t operator_revision; /**< newest change by the operator that it knows, likewise */
@@ -62,6 +66,7 @@
     bool joined;                   /**< the last change is that it became known here */
 };
 
+/** Times of the protocol, microseconds. */
 struct membership_settings {
     uint64_t probe_period_us;   /**< a node starts one probe in each period */
     uint64_t ack_timeout_us;    /**< wait for an acknowledgement before indirect probes */
@@ -82,6 +87,11 @@
 
 struct membership;
 
+/**
+ * \param self the own state; its health is set to alive
+ * \param seed of the random choices
+ * \return a member table without other members; membership_destroy() frees it
+ */
 struct membership *membership_create(const struct membership_settings *settings,
                                      const struct member_state *self, uint64_t seed,
                                      const struct membership_driver *driver);
@@ -89,6 +99,7 @@
 
 /** \brief Add an address to contact while no live member is known, and periodically afterwards. */
 void membership_add_seed(struct membership *membership, uint32_t address);
+/** \return the own state; call membership_self_changed() after a change */
 struct member_state *membership_self(struct membership *membership);
 /** \brief Raise the incarnation after a change of the own state, for example to draining, so that
  * it supersedes what others know. */
@@ -120,7 +131,9 @@
 
 /** \return the number of other members, of any health */
 uint32_t membership_count(const struct membership *membership);
+/** \return a member; valid, like `index`, until the next message or tick */
 const struct member_state *membership_at(const struct membership *membership, uint32_t index);
+/** \return the member, NULL if it is not known; valid until the next message or tick */
 const struct member_state *membership_find(const struct membership *membership, uint32_t address);
 /** \return a number that grows with each change of the table: of its members or of their states */
 uint64_t membership_generation(const struct membership *membership);
--- a/src/core/membership_internal.h
+++ b/src/core/membership_internal.h
@@ -8,7 +8,9 @@
 #include "core/address_index.h"
 #include "core/membership.h"
 
+/** Seeds that a node contacts; further ones are ignored. */
 #define MEMBERSHIP_MAX_SEEDS 16
+/** Indirect probes in progress; a new one replaces the oldest. */
 #define MEMBERSHIP_MAX_RELAYS 16
 /** Digests of a member table: for the members of one region, and as many for all others. */
 #define MEMBERSHIP_REGION_BUCKETS 32
@@ -35,6 +37,7 @@
     uint32_t requester_number;
 };
 
+/** The member table and the state of the protocol. */
 struct membership {
     struct membership_settings settings;
     struct membership_driver driver;
@@ -69,6 +72,7 @@
 
 /* --- membership.c ---- */
 
+/** \return the member, NULL if it is not known */
 struct member_state *membership_lookup(const struct membership *membership, uint32_t address);
 /** \return number of live members known to this node, itself included */
 uint32_t membership_known_count(struct membership *membership);
@@ -119,6 +123,7 @@
 /** \brief Process the probe or acknowledgement in a message, if it has one. */
 void membership_receive_probe(struct membership *membership, uint32_t from,
                               const Shuntrun__MemberMessage *message);
+/** \brief Start the probes, suspicions and requests to seeds that are due. */
 void membership_probe_tick(struct membership *membership, uint64_t now);
 
 #endif
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -5,7 +5,7 @@
 
 /** Members that are asked to send an indirect probe. */
 #define INDIRECT_PROBES 3
-/** One dead member and one seed not known alive are contacted each this many periods. */
+/** One dead member and one seed not known alive are contacted once in this many periods. */
 #define LOST_PROBE_PERIODS 4
 /** Time for which a node that receives nothing suspects itself, not other members. */
 #define ISOLATION_GRACE_US 3000000
--- a/src/core/reader_role.h
+++ b/src/core/reader_role.h
@@ -11,12 +11,14 @@
 
 #include "core/membership.h"
 
+/** How a gateway reads the store at present. */
 enum reader_duty {
     READER_INACTIVE, /**< receives changes from other nodes only */
     READER_STANDBY,  /**< reads with the longer batch delay, in case the leader fails */
     READER_LEADER,   /**< reads with the short batch delay and updates its region */
 };
 
+/** State of the decision; begins as all zeros. Times are microseconds. */
 struct reader_role {
     enum reader_duty duty;
     uint64_t unhealthy_since;  /**< no reader of the region gets answers since; 0: one does */
--- a/src/core/state_cache.h
+++ b/src/core/state_cache.h
@@ -14,13 +14,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** An item of the platform state, or the tombstone of a removed one. */
 struct state_item {
     char *key;
-    char *value; /**< owned, zero-terminated; NULL when gone */
-    size_t size; /**< of the value, bytes, without the terminating zero */
-    uint64_t revision;
-    bool gone;        /**< removed: this is a tombstone */
-    uint64_t learned; /**< time at which the first node knew of the last change */
+    char *value;       /**< owned, zero-terminated; NULL when gone */
+    size_t size;       /**< of the value, bytes, without the terminating zero */
+    uint64_t revision; /**< of its last change */
+    bool gone;         /**< removed: this is a tombstone */
+    uint64_t learned;  /**< time at which the first node knew of the last change */
     bool
         from_outage; /**< the store may have lost the item in an outage, see struct state_removal */
     bool seen;       /**< contained in the snapshot that is being applied */
@@ -35,18 +36,21 @@
 
 struct state_cache;
 
+/** Receives each change of the cache. */
 struct state_cache_listener {
     void *context;
     /** Called when an item was added, changed or removed. */
     void (*changed)(void *context, const struct state_item *item);
 };
 
+/** \return an empty cache; state_cache_destroy() frees it with its items */
 struct state_cache *state_cache_create(const struct state_cache_listener *listener);
 void state_cache_destroy(struct state_cache *cache);
 
 /** \brief Apply one item. \return whether it was newer than the held one */
 bool state_cache_put(struct state_cache *cache, const char *key, const char *value, size_t size,
                      uint64_t revision, uint64_t learned);
+/** \brief Remove one item. \return whether `revision` was newer than the held item */
 bool state_cache_remove(struct state_cache *cache, const char *key, uint64_t revision,
                         const struct state_removal *loss);
 /** \brief Record that all changes up to this revision were applied. */
@@ -60,8 +64,11 @@
 
 /** \return the revision up to which all changes were applied, 0 before the first snapshot */
 uint64_t state_cache_revision(const struct state_cache *cache);
+/** \return the item, NULL if there is none or it was removed */
 const struct state_item *state_cache_find(const struct state_cache *cache, const char *key);
+/** \return the number of items, tombstones included */
 uint32_t state_cache_count(const struct state_cache *cache);
+/** \return an item or tombstone, in the order of keys */
 const struct state_item *state_cache_at(const struct state_cache *cache, uint32_t index);
 /** \return whether the delta since `revision` is complete for items that are never removed */
 bool state_cache_retains_since(const struct state_cache *cache, uint64_t revision);
--- a/src/core/store_watch.h
+++ b/src/core/store_watch.h
@@ -12,11 +12,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** State of a reader. Times are microseconds. */
 struct store_watch {
     uint64_t revision;    /**< all changes up to here are known; 0: a snapshot must be read */
     uint32_t failures;    /**< consecutive calls without an answer */
     bool outage;          /**< since the last answer calls failed, other than by one disconnect */
-    bool history_lost;    /**< a snapshot is read since the store dropped its history */
+    bool history_lost;    /**< a snapshot replaces dropped history: its changes may be old */
     bool answered;        /**< the store has answered since store_watch_init() */
     uint64_t answered_at; /**< time of the last answer: all earlier removals are known */
 };
@@ -39,6 +40,7 @@
 void store_watch_init(struct store_watch *watch, uint64_t known, uint64_t now);
 /** \brief Other nodes sent all changes up to `known`: the next watch continues from there. */
 void store_watch_advance(struct store_watch *watch, uint64_t known);
+/** \return the call to make next */
 struct store_call store_watch_next_call(const struct store_watch *watch);
 /** \brief Record a call without an answer. \return delay before the next call, ms */
 uint32_t store_watch_failed(struct store_watch *watch, enum store_failure failure);
--- a/src/core/version_bounds.h
+++ b/src/core/version_bounds.h
@@ -9,21 +9,26 @@
 
 /** Version of a model until the operator names one. */
 #define INITIAL_VERSION 1
+/** Models, and versions of each; further models are ignored, the oldest versions dropped. */
 #define VERSION_BOUNDS_MAX_MODELS 16
 #define VERSION_BOUNDS_MAX_VERSIONS 8
+/** Size of a model name, bytes, with the terminating zero. */
 #define VERSION_MODEL_SIZE 64
 
+/** A named version and the time from which it is the minimum. */
 struct version_bound {
     uint64_t version;
     uint64_t enforced_at; /**< time from which no older version may start a request */
 };
 
+/** The named versions of one model. */
 struct model_versions {
     char model[VERSION_MODEL_SIZE];
     struct version_bound bounds[VERSION_BOUNDS_MAX_VERSIONS]; /**< newest first */
     uint32_t count;
 };
 
+/** The named versions of all models; begins as all zeros. */
 struct version_bounds {
     struct model_versions models[VERSION_BOUNDS_MAX_MODELS];
     uint32_t count;
--- a/src/core/wake_watch.h
+++ b/src/core/wake_watch.h
@@ -18,6 +18,7 @@
  * old: the platform's store is read again, and idle connections are not reused. */
 #define WAKE_LONG_PAUSE_US ((uint64_t)1000000)
 
+/** Why a process did not run. */
 enum wake_kind { WAKE_NONE, WAKE_STALLED, WAKE_SUSPENDED };
 
 /** A pause that has ended. */
@@ -26,6 +27,7 @@
     uint64_t pause_us;
 };
 
+/** Both clocks at the last check, microseconds; begins as all zeros. */
 struct wake_watch {
     uint64_t elapsed_us; /**< clock that counts all time, at the last check; 0: none yet */
     uint64_t timer_us;   /**< clock that stops during a suspension, at the last check */
