--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -78,7 +78,7 @@
 static void on_resumed_after_pause(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
-    if (wake->pause_us > WAKE_LONG_US)
+    if (wake->pause_us > WAKE_LONG_PAUSE_US)
         upstream_close_idle(edge);
     edge_client_recheck_deadlines(edge);
 }
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -187,7 +187,7 @@
     log_event(LOG_LEVEL_INFO, "weights", "version-named",
               "model=%s version=%" PRIu64 " age_ms=%" PRIu64, model, version,
               (now - named_at) / 1000);
-    version_bounds_name(&edge->versions, model, version, named_at + bound_us - VERSION_MARGIN_US);
+    version_bounds_add(&edge->versions, model, version, named_at + bound_us - VERSION_MARGIN_US);
 }
 
 void edge_apply_item(struct edge *edge, const struct state_item *item)
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -38,7 +38,7 @@
 static uint64_t required_version_at(const struct exchange *exchange, uint64_t at)
 {
     const char *model = exchange->service->engine.model;
-    return model ? version_bounds_least(&exchange->edge->versions, model, at) : 0;
+    return model ? version_bounds_minimum(&exchange->edge->versions, model, at) : 0;
 }
 
 /* \return the version that engines without weights will load: the newest one named, or the first */
@@ -46,7 +46,7 @@
 {
     const char *model = exchange->service->engine.model;
     uint64_t newest = model ? version_bounds_newest(&exchange->edge->versions, model) : 0;
-    return newest ? newest : FIRST_VERSION;
+    return newest ? newest : INITIAL_VERSION;
 }
 
 /* \return expected duration of a stream; 0: unknown, or of no account as a resumed stream goes to
--- a/src/loader/wanted_versions.c
+++ b/src/loader/wanted_versions.c
@@ -66,7 +66,7 @@
         .announced_at = announced_at,
         .wanted_at = now,
         .store = store,
-        .recovery_done = version > FIRST_VERSION && now - announced_at < RECOVERY_MIN_AGE_US,
+        .recovery_done = version > INITIAL_VERSION && now - announced_at < RECOVERY_MIN_AGE_US,
     };
 }
 
--- a/tests/core/store_outage_test.c
+++ b/tests/core/store_outage_test.c
@@ -1,20 +1,18 @@
 /*
- * An engine that leaves after an outage of the platform's store gets no new work.
+ * An engine that leaves after an outage of the platform's store gets no new work past the drain
+ * bound.
  *
- * Symptom: a request reached an engine 2,062 ms after the store had acknowledged that it leaves;
- * the bound is 2,000 ms. Sequence: a silence of the store swallowed the watches of all gateways,
- * which noticed only when the watches timed out, up to 3 s later. The store had long worked again,
- * but until the next answer they held it for failing. An engine left in that time without a word.
- * Its entry went, the gateways took that for one of the entries that a failing store loses, and
- * kept the engine for 2.5 s. Cause: the doubt went by what a gateway thought of the store when it
- * heard of the drop, not by whether the drop can have happened in the outage. What settled it, from
- * the gateways' logs, an engine gone at 18.95 s after an outage that ended at 15.32 s:
+ * Guards against a request that reached an engine 2,062 ms after the store had acknowledged that it
+ * leaves; the bound is 2,000 ms. An outage swallowed the watches of all gateways, which noticed it
+ * only when these timed out, up to 3 s later. Until their next answer the gateways took the store
+ * for failing, although it worked again. An engine that left in that time was taken for an entry
+ * that the outage had lost, and stayed usable for 2.5 s: the outage ended at 15.32 s, the engine
+ * was removed at 18.95 s (event=gone, usable_ms=2500, doubtful=1, store_sound=0) and got a request
+ * at 21.08 s (event=sent-unlisted, unlisted_ms=2128). The decision went by the store health that a
+ * gateway saw when it learned of the removal, not by whether the removal can have happened in the
+ * outage.
  *
- *   18.225 event=lost reason="no answer"
- *   18.955 event=gone age_ms=0 usable_ms=2500 doubtful=1 store_sound=0
- *   21.083 event=sent-unlisted unlisted_ms=2128 usable_ms=392 doubtful=1
- *
- * A store, its gateways and one engine on a virtual clock of milliseconds.
+ * Simulates a store, its gateways and one engine on a clock of milliseconds.
  */
 #include "testing.h"
 
@@ -27,25 +25,25 @@
 #define MS_US 1000ULL
 #define GATEWAYS 7
 #define TICK_MS 100
-#define GATHER_MS 200
-/** One way between a gateway and the store. */
+#define BATCH_DELAY_MS 200
+/** One-way delay between a gateway and the store. */
 #define DELAY_MS 2
-/** After it an engine that leaves gets no new work. */
+/** Drain bound: afterwards an engine that leaves gets no new work. */
 #define DRAIN_MS 2000
-/** So long after an outage nodes count as in touch with the store again. */
+/** Time after an outage in which nodes reconnect to the store. */
 #define CONTACT_MS 3000
-/** In so long engines that the store lost in an outage list themselves again. */
+/** Time in which engines that the store lost in an outage list themselves again. */
 #define RELIST_MS 2000
 
 static const struct backend_pool_settings pool_settings = {
     .queue_per_engine = 3, .tokens_per_engine = 4500, .unlisted_grace_us = 1400 * MS_US};
 
-/** What happens in one session, in ms. */
+/** Events of one session, in ms. */
 struct script {
-    uint64_t change_at;    /**< answers all watches, so that all begin anew at the same time */
-    uint64_t silent_from;  /**< calls that begin, or would be answered, from here on */
-    uint64_t silent_until; /**< to here are never answered */
-    uint64_t drop_at;      /**< the engine's entry goes */
+    uint64_t change_at;    /**< answers all watches, so that all start again at the same time */
+    uint64_t silent_from;  /**< calls that start, or would be answered, from here */
+    uint64_t silent_until; /**< to here get no answer */
+    uint64_t drop_at;      /**< the engine's entry is removed */
 };
 
 struct gateway {
@@ -54,11 +52,11 @@
     struct backend *engine;
     struct store_call call;
     bool calling;
-    bool lost;           /**< the call under way will never be answered */
-    uint64_t begun;      /**< of the call under way */
-    uint64_t next_call;  /**< time of it while none is under way */
-    uint64_t revision;   /**< of the store that the last answer told */
-    uint64_t learned_at; /**< time at which the drop was heard of, 0: not yet */
+    bool lost;           /**< the current call will get no answer */
+    uint64_t begun;      /**< start of the current call */
+    uint64_t next_call;  /**< start of the next one, while there is no current call */
+    uint64_t revision;   /**< of the store in the last answer */
+    uint64_t learned_at; /**< time at which the removal was learned, 0: not yet */
 };
 
 struct session {
@@ -87,7 +85,7 @@
         gateway->pool = backend_pool_create(&pool_settings, i);
         gateway->engine = backend_retain(backend_pool_list(gateway->pool, &listing, 0));
         gateway->revision = 1;
-        store_watch_begin(&gateway->watch, 1, MS_US);
+        store_watch_init(&gateway->watch, 1, MS_US);
         store_watch_answered(&gateway->watch, 1, MS_US);
     }
 }
@@ -109,12 +107,13 @@
     gateway->revision = revision;
     if (dropped) {
         gateway->learned_at = session->now;
-        struct state_loss loss = store_watch_loss(&gateway->watch, false, session->now * MS_US);
+        struct state_removal loss =
+            store_watch_removal(&gateway->watch, false, session->now * MS_US);
         struct backend_unlisting drop = {loss.learned, loss.from_outage};
         backend_pool_unlist(gateway->pool, "i-1", &drop, session->now * MS_US);
     }
     store_watch_answered(&gateway->watch, revision, session->now * MS_US);
-    gateway->next_call = session->now + (news ? GATHER_MS : 0);
+    gateway->next_call = session->now + (news ? BATCH_DELAY_MS : 0);
 }
 
 static void step_call(struct session *session, struct gateway *gateway)
@@ -137,14 +136,14 @@
         take_answer(session, gateway);
     } else if (waited >= gateway->call.timeout_ms) {
         gateway->calling = false;
-        gateway->next_call = now + store_watch_failed(&gateway->watch, STORE_SILENT);
+        gateway->next_call = now + store_watch_failed(&gateway->watch, STORE_TIMED_OUT);
     }
 }
 
-static bool somebody_is_sound(const struct session *session)
+static bool any_gateway_is_healthy(const struct session *session)
 {
     for (uint32_t i = 0; i < GATEWAYS; i++)
-        if (store_watch_is_sound(&session->gateways[i].watch))
+        if (store_watch_is_healthy(&session->gateways[i].watch))
             return true;
     return false;
 }
@@ -154,10 +153,10 @@
     session->now++;
     for (uint32_t i = 0; i < GATEWAYS; i++)
         step_call(session, &session->gateways[i]);
-    bool sound = somebody_is_sound(session);
+    bool healthy = any_gateway_is_healthy(session);
     for (uint32_t i = 0; i < GATEWAYS; i++)
         if (session->now % TICK_MS == i)
-            backend_pool_expire(session->gateways[i].pool, sound, session->now * MS_US);
+            backend_pool_expire(session->gateways[i].pool, healthy, session->now * MS_US);
 }
 
 static void run_until(struct session *session, uint64_t end)
@@ -166,7 +165,7 @@
         step(session);
 }
 
-static uint32_t count_who_may_send(const struct session *session)
+static uint32_t count_gateways_that_may_send(const struct session *session)
 {
     static const struct backend_criteria wish = {.service = "llm"};
     uint32_t count = 0;
@@ -178,8 +177,8 @@
     return count;
 }
 
-/* Outages of many lengths that begin before and after all gateways begin a watch at 1.2 s, and that
- * each swallow a call. */
+/* Outages of many lengths that begin before and after all gateways start a watch at 1.2 s, each of
+ * which swallows a call. */
 #define FOR_EACH_OUTAGE(script)                                                                    \
     for (uint64_t before = 0; before <= 400; before += 50)                                         \
         for (uint64_t length = before < 200 ? 250 : 2300; length <= 4600; length += 150)           \
@@ -188,7 +187,7 @@
                                         .silent_until = 1000 + before + length};                   \
                  script.change_at; script.change_at = 0)
 
-static void an_engine_that_leaves_after_an_outage_gets_nothing_past_the_bound(void **state)
+static void engine_leaving_after_outage_gets_no_work_past_bound(void **state)
 {
     FOR_EACH_OUTAGE(script)
     {
@@ -197,14 +196,14 @@
             script.drop_at = script.silent_until + CONTACT_MS + after;
             open_session(&session, &script);
             run_until(&session, script.drop_at + DRAIN_MS);
-            assert_int_equal(count_who_may_send(&session), 0);
+            assert_int_equal(count_gateways_that_may_send(&session), 0);
             close_session(&session);
         }
     }
 }
 
-/* The purpose of the doubt: what an outage loses lives, and lists itself again. */
-static void an_engine_that_an_outage_drops_is_used_until_it_is_back(void **state)
+/* An engine that an outage of the store loses still runs, and lists itself again. */
+static void engine_dropped_by_outage_stays_usable_until_relisted(void **state)
 {
     FOR_EACH_OUTAGE(script)
     {
@@ -212,9 +211,9 @@
         script.drop_at = script.silent_until - 50;
         open_session(&session, &script);
         run_until(&session, script.silent_until + RELIST_MS);
-        assert_int_equal(count_who_may_send(&session), GATEWAYS);
+        assert_int_equal(count_gateways_that_may_send(&session), GATEWAYS);
         run_until(&session, script.silent_until + 4 * RELIST_MS);
-        assert_int_equal(count_who_may_send(&session), 0);
+        assert_int_equal(count_gateways_that_may_send(&session), 0);
         close_session(&session);
     }
 }
@@ -222,8 +221,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(an_engine_that_leaves_after_an_outage_gets_nothing_past_the_bound),
-        cmocka_unit_test(an_engine_that_an_outage_drops_is_used_until_it_is_back),
+        cmocka_unit_test(engine_leaving_after_outage_gets_no_work_past_bound),
+        cmocka_unit_test(engine_dropped_by_outage_stays_usable_until_relisted),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
