--- a/src/cluster/crash_page.c
+++ b/src/cluster/crash_page.c
@@ -19,13 +19,14 @@
                         uint64_t now)
 {
     char identity[REQUEST_IDENTITY_HEX_SIZE];
-    enum crash_verdict verdict = crash_table_judge(table, &entry->identity, now);
-    uint64_t first = entry->starts[0].ended_at;
-    uint64_t last = entry->starts[entry->start_count - 1].ended_at;
-    json_int_t blocked_ms = verdict == CRASH_BLOCKED ? age_ms(now, last + CRASH_BLOCK_US) : 0;
+    enum crash_verdict verdict = crash_table_verdict(table, &entry->identity, now);
+    uint64_t first = entry->crashes[0].ended_at;
+    uint64_t last = entry->crashes[entry->crash_count - 1].ended_at;
+    json_int_t blocked_ms =
+        verdict == CRASH_VERDICT_BLOCKED ? age_ms(now, last + CRASH_BLOCK_DURATION_US) : 0;
     request_identity_to_hex(&entry->identity, identity);
     return json_pack("{s:s, s:s, s:i, s:I, s:I, s:I}", "identity", identity, "verdict",
-                     crash_verdict_name(verdict), "ends", (int)entry->start_count,
+                     crash_verdict_name(verdict), "ends", (int)entry->crash_count,
                      "first_end_ms_ago", age_ms(first, now), "last_end_ms_ago", age_ms(last, now),
                      "blocked_for_ms", blocked_ms);
 }
@@ -37,7 +38,7 @@
     json_t *list = json_array();
     for (uint32_t i = 0; i < crash_table_count(table); i++) {
         const struct crash_entry *entry = crash_table_at(table, i);
-        if (entry->start_count)
+        if (entry->crash_count)
             json_array_append_new(list, describe(table, entry, now));
     }
     char *text = json_dumps(list, JSON_COMPACT);
@@ -61,7 +62,8 @@
         reply_text(call, 400, "identity: 32 digits of hex are needed\n");
         return;
     }
-    if (!crash_table_clear(crash_sync_table(sync), &identity, cluster_now(), CRASH_RAN_WHOLE)) {
+    if (!crash_table_record_success(crash_sync_table(sync), &identity, cluster_now(),
+                                    CRASH_FULL_RUN)) {
         reply_text(call, 404, "identity: nothing is held against this request here\n");
         return;
     }
--- a/src/cluster/crash_sync.c
+++ b/src/cluster/crash_sync.c
@@ -36,8 +36,8 @@
     Shuntrun__MemberMessage message;
     Shuntrun__CrashSuspect suspects[SUSPECTS_MOST];
     Shuntrun__CrashSuspect *suspect_pointers[SUSPECTS_MOST];
-    Shuntrun__CrashStart starts[SUSPECTS_MOST][CRASH_STARTS_KEPT];
-    Shuntrun__CrashStart *start_pointers[SUSPECTS_MOST][CRASH_STARTS_KEPT];
+    Shuntrun__CrashStart starts[SUSPECTS_MOST][CRASH_MAX_EVENTS];
+    Shuntrun__CrashStart *start_pointers[SUSPECTS_MOST][CRASH_MAX_EVENTS];
 };
 
 struct crash_sync *crash_sync_create(struct cluster *cluster)
@@ -91,21 +91,21 @@
     suspect->identity.data = entry->identity.bytes;
     suspect->identity.len = sizeof entry->identity.bytes;
     suspect->cleared_age_ms = entry->cleared_at ? age_ms(entry->cleared_at, now) + 1 : 0;
-    suspect->lease_start = entry->lease.start;
-    suspect->lease_age_ms = entry->lease.start ? age_ms(entry->lease.since, now) : 0;
+    suspect->lease_start = entry->lease.incarnation;
+    suspect->lease_age_ms = entry->lease.incarnation ? age_ms(entry->lease.since, now) : 0;
     suspect->starts = out->start_pointers[place];
-    suspect->n_starts = entry->start_count;
-    for (uint32_t i = 0; i < entry->start_count; i++) {
+    suspect->n_starts = entry->crash_count;
+    for (uint32_t i = 0; i < entry->crash_count; i++) {
         Shuntrun__CrashStart *start = &out->starts[place][i];
         shuntrun__crash_start__init(start);
-        start->start = entry->starts[i].start;
-        start->attempt = entry->starts[i].attempt;
-        start->age_ms = age_ms(entry->starts[i].ended_at, now);
-        start->ran_ms = entry->starts[i].began_at
-                            ? age_ms(entry->starts[i].began_at, entry->starts[i].ended_at)
+        start->start = entry->crashes[i].incarnation;
+        start->attempt = entry->crashes[i].attempt;
+        start->age_ms = age_ms(entry->crashes[i].ended_at, now);
+        start->ran_ms = entry->crashes[i].began_at
+                            ? age_ms(entry->crashes[i].began_at, entry->crashes[i].ended_at)
                             : 0;
-        start->dead_ms = entry->starts[i].dead_at
-                             ? age_ms(entry->starts[i].ended_at, entry->starts[i].dead_at) + 1
+        start->dead_ms = entry->crashes[i].detected_at
+                             ? age_ms(entry->crashes[i].ended_at, entry->crashes[i].detected_at) + 1
                              : 0;
         out->start_pointers[place][i] = start;
     }
@@ -143,7 +143,7 @@
 {
     struct crash_receivers receivers;
     crash_spread_receivers(sync->cluster->membership, entry, &sync->cluster->random, &receivers);
-    entry->untold = false;
+    entry->is_dirty = false;
     for (uint32_t i = 0; i < receivers.count; i++) {
         struct outgoing *outgoing = outgoing_to(outbox, receivers.addresses[i]);
         add_entry(&outgoing->message, entry, now);
@@ -158,7 +158,7 @@
     struct outbox outbox = {0};
     for (uint32_t i = 0; i < crash_table_count(sync->table); i++) {
         struct crash_entry *entry = crash_table_at(sync->table, i);
-        if (!entry->untold)
+        if (!entry->is_dirty)
             continue;
         if (!outbox.items)
             outbox.items =
@@ -174,7 +174,7 @@
 /* Whoever stood still, or was held for dead, was not told of it. */
 static bool is_recent(const struct crash_entry *entry, uint64_t now)
 {
-    return entry->start_count && now < entry->starts[entry->start_count - 1].ended_at + RECENT_US;
+    return entry->crash_count && now < entry->crashes[entry->crash_count - 1].ended_at + RECENT_US;
 }
 
 /* What one message has no room for goes into the next one. */
@@ -218,15 +218,15 @@
     return now / 1000 > age ? now - age * 1000 : 1;
 }
 
-static struct crash_start read_start(const Shuntrun__CrashStart *start, uint64_t now)
+static struct crash_event read_start(const Shuntrun__CrashStart *start, uint64_t now)
 {
     uint64_t ended_at = time_of_age(start->age_ms, now);
-    return (struct crash_start){
-        .start = start->start,
+    return (struct crash_event){
+        .incarnation = start->start,
         .ended_at = ended_at,
         .attempt = start->attempt,
         .began_at = start->ran_ms ? time_of_age(start->ran_ms, ended_at) : 0,
-        .dead_at = start->dead_ms ? ended_at + start->dead_ms * 1000 : 0,
+        .detected_at = start->dead_ms ? ended_at + start->dead_ms * 1000 : 0,
     };
 }
 
@@ -243,8 +243,8 @@
     if (suspect->lease_start)
         entry->lease =
             (struct crash_lease){suspect->lease_start, time_of_age(suspect->lease_age_ms, now)};
-    for (size_t i = 0; i < suspect->n_starts && i < CRASH_STARTS_KEPT; i++)
-        entry->starts[entry->start_count++] = read_start(suspect->starts[i], now);
+    for (size_t i = 0; i < suspect->n_starts && i < CRASH_MAX_EVENTS; i++)
+        entry->crashes[entry->crash_count++] = read_start(suspect->starts[i], now);
     return true;
 }
 
@@ -253,10 +253,10 @@
 {
     char identity[REQUEST_IDENTITY_HEX_SIZE];
     const struct crash_entry *entry = crash_table_find(sync->table, &told->identity);
-    bool blocked = crash_table_judge(sync->table, &told->identity, now) == CRASH_BLOCKED;
+    bool blocked = crash_table_verdict(sync->table, &told->identity, now) == CRASH_VERDICT_BLOCKED;
     request_identity_to_hex(&told->identity, identity);
     log_event(LOG_LEVEL_INFO, "crash", "learned", "identity=%s starts=%u peer=%08x outcome=%s",
-              identity, entry->start_count, sender, blocked ? "blocked" : "suspect");
+              identity, entry->crash_count, sender, blocked ? "blocked" : "suspect");
 }
 
 /* \return whether anything of it is new */
@@ -274,7 +274,7 @@
         if (!crash_table_merge(sync->table, &entry))
             continue;
         changed = true;
-        if (entry.start_count > 1)
+        if (entry.crash_count > 1)
             log_learned(sync, &entry, sender, now);
     }
     return changed;
--- a/src/core/backend_choice.c
+++ b/src/core/backend_choice.c
@@ -294,7 +294,7 @@
     uint64_t weight = (hash_pair(wish->rank_key, hash_name(backend->listing.id)) >> 1) | 1;
     if (!wish->barred_count && !wish->leased_start)
         return weight | RANK_FREE;
-    uint64_t start = crash_start_key(backend->listing.id, backend->listing.born);
+    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
     if (start == wish->leased_start)
         return is_barred(wish, start) ? 0 : UINT64_MAX;
     if (!is_barred(wish, start))
--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -217,7 +217,7 @@
      *  requests meet at one back end then, and others rarely do. */
     uint64_t rank_key;
     /** With a rank key: starts of back ends at which other requests run apart from those that may
-     *  crash back ends (crash_start_key()). */
+     *  crash back ends (crash_incarnation_key()). */
     const uint64_t *barred_starts;
     uint32_t barred_count;
     bool isolated; /**< it must not run there, they count as full; else it goes there last */
--- a/src/core/crash_lease.c
+++ b/src/core/crash_lease.c
@@ -2,34 +2,34 @@
 
 bool crash_lease_is_valid(const struct crash_lease *lease, uint64_t now)
 {
-    return lease->start && now < lease->since + CRASH_LEASE_US;
+    return lease->incarnation && now < lease->since + CRASH_LEASE_DURATION_US;
 }
 
 bool crash_lease_is_settled(const struct crash_lease *lease, uint64_t now)
 {
-    return now >= lease->since + CRASH_LEASE_SETTLES_US;
+    return now >= lease->since + CRASH_LEASE_PROPAGATION_US;
 }
 
 static bool is_clearly_earlier(const struct crash_lease *lease, const struct crash_lease *other)
 {
-    return lease->since + CRASH_LEASE_SETTLES_US <= other->since;
+    return lease->since + CRASH_LEASE_PROPAGATION_US <= other->since;
 }
 
 bool crash_lease_replaces(const struct crash_lease *lease, const struct crash_lease *known)
 {
-    if (!lease->start || lease->start == known->start)
+    if (!lease->incarnation || lease->incarnation == known->incarnation)
         return false;
-    if (!known->start || is_clearly_earlier(known, lease))
+    if (!known->incarnation || is_clearly_earlier(known, lease))
         return true;
     if (is_clearly_earlier(lease, known))
         return false;
     if (lease->since != known->since)
         return lease->since < known->since;
-    return lease->start < known->start;
+    return lease->incarnation < known->incarnation;
 }
 
-bool crash_lease_goes_before(const struct crash_lease *lease, const struct crash_lease *other,
-                             bool more_suspect)
+bool crash_lease_takes_precedence(const struct crash_lease *lease, const struct crash_lease *other,
+                                  bool more_suspect)
 {
     if (is_clearly_earlier(lease, other))
         return true;
--- a/src/core/crash_spread.h
+++ b/src/core/crash_spread.h
@@ -15,15 +15,15 @@
 
 /** Gateways at which evidence on one request meets. In a fleet of 7 these are all, so that same
  *  requests meet at one back end, and others part, from the first end on. */
-#define CRASH_GATEWAY_HOMES 6
+#define CRASH_GATEWAY_REPLICAS 6
 /** Loaders that keep what all gateways keep: both have to be lost with all gateways. */
-#define CRASH_LOADER_HOMES 2
+#define CRASH_LOADER_REPLICAS 2
 /** Gateways that each node tells of a request that was there at more than one end. A rumour that
  *  each node passes on reaches nearly all; a digest finds the others. */
-#define CRASH_TOLD_MOST 6
+#define CRASH_GOSSIP_FANOUT 6
 
 struct crash_receivers {
-    uint32_t addresses[CRASH_TOLD_MOST + CRASH_GATEWAY_HOMES + CRASH_LOADER_HOMES];
+    uint32_t addresses[CRASH_GOSSIP_FANOUT + CRASH_GATEWAY_REPLICAS + CRASH_LOADER_REPLICAS];
     uint32_t count;
 };
 
--- a/src/core/crash_table.c
+++ b/src/core/crash_table.c
@@ -11,16 +11,17 @@
     uint32_t count;
     uint64_t *prefixes; /* the first bytes of each entry's identity: a look reads these alone */
     struct crash_finding *findings; /* of each entry, as of the last judgement */
-    uint64_t *judged_until; /* time from which the next one may differ; 0: entries have changed */
+    uint64_t *
+        findings_valid_until; /* time from which the next one may differ; 0: entries have changed */
 };
 
 struct crash_table *crash_table_create(void)
 {
     struct crash_table *table = memory_zero(1, sizeof *table);
-    table->entries = memory_zero(CRASH_ENTRIES_MOST, sizeof *table->entries);
-    table->prefixes = memory_zero(CRASH_ENTRIES_MOST, sizeof *table->prefixes);
-    table->findings = memory_zero(CRASH_ENTRIES_MOST, sizeof *table->findings);
-    table->judged_until = memory_zero(1, sizeof *table->judged_until);
+    table->entries = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->entries);
+    table->prefixes = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->prefixes);
+    table->findings = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->findings);
+    table->findings_valid_until = memory_zero(1, sizeof *table->findings_valid_until);
     return table;
 }
 
@@ -29,11 +30,11 @@
     free(table->entries);
     free(table->prefixes);
     free(table->findings);
-    free(table->judged_until);
+    free(table->findings_valid_until);
     free(table);
 }
 
-uint64_t crash_start_key(const char *backend_id, uint64_t born)
+uint64_t crash_incarnation_key(const char *backend_id, uint64_t born)
 {
     return hash_pair(hash_name(backend_id), born);
 }
@@ -45,29 +46,30 @@
 
 const char *crash_verdict_name(enum crash_verdict verdict)
 {
-    static const char *const names[] = {
-        [CRASH_NO_SUSPECT] = "none", [CRASH_SUSPECT] = "suspect", [CRASH_BLOCKED] = "blocked"};
+    static const char *const names[] = {[CRASH_VERDICT_NONE] = "none",
+                                        [CRASH_VERDICT_SUSPECT] = "suspect",
+                                        [CRASH_VERDICT_BLOCKED] = "blocked"};
     return names[verdict];
 }
 
 /* --- one entry -----------------------------------------------------------------------------------
  */
 
-static uint64_t newest_end(const struct crash_entry *entry)
+static uint64_t latest_crash_at(const struct crash_entry *entry)
 {
-    return entry->start_count ? entry->starts[entry->start_count - 1].ended_at : 0;
+    return entry->crash_count ? entry->crashes[entry->crash_count - 1].ended_at : 0;
 }
 
-uint32_t crash_entry_weight_without(const struct crash_entry *entry,
-                                    const bool without[CRASH_STARTS_KEPT])
+uint32_t crash_entry_distinct_crashes_except(const struct crash_entry *entry,
+                                             const bool without[CRASH_MAX_EVENTS])
 {
     uint32_t weight = 0;
     uint64_t counted_at = 0;
-    for (uint32_t i = 0; i < entry->start_count; i++) {
-        uint64_t ended_at = entry->starts[i].ended_at;
+    for (uint32_t i = 0; i < entry->crash_count; i++) {
+        uint64_t ended_at = entry->crashes[i].ended_at;
         if (without[i])
             continue;
-        if (weight && ended_at < counted_at + CRASH_SAME_MOMENT_US)
+        if (weight && ended_at < counted_at + CRASH_SIMULTANEOUS_US)
             continue;
         counted_at = ended_at;
         weight++;
@@ -75,49 +77,49 @@
     return weight;
 }
 
-uint32_t crash_entry_weight(const struct crash_entry *entry)
+uint32_t crash_entry_distinct_crashes(const struct crash_entry *entry)
 {
-    static const bool none[CRASH_STARTS_KEPT];
-    return crash_entry_weight_without(entry, none);
+    static const bool none[CRASH_MAX_EVENTS];
+    return crash_entry_distinct_crashes_except(entry, none);
 }
 
 uint64_t crash_entry_settled_at(const struct crash_entry *entry)
 {
-    return newest_end(entry) + CRASH_NEWS_US;
+    return latest_crash_at(entry) + CRASH_PROPAGATION_US;
 }
 
-static void remove_start(struct crash_entry *entry, uint32_t place)
+static void remove_crash(struct crash_entry *entry, uint32_t place)
 {
-    entry->start_count--;
-    memmove(&entry->starts[place], &entry->starts[place + 1],
-            (entry->start_count - place) * sizeof entry->starts[0]);
+    entry->crash_count--;
+    memmove(&entry->crashes[place], &entry->crashes[place + 1],
+            (entry->crash_count - place) * sizeof entry->crashes[0]);
 }
 
-static void insert_start(struct crash_entry *entry, const struct crash_start *start)
+static void insert_crash(struct crash_entry *entry, const struct crash_event *crash)
 {
-    if (entry->start_count == CRASH_STARTS_KEPT)
-        remove_start(entry, 0);
-    uint32_t place = entry->start_count++;
-    while (place && entry->starts[place - 1].ended_at > start->ended_at) {
-        entry->starts[place] = entry->starts[place - 1];
+    if (entry->crash_count == CRASH_MAX_EVENTS)
+        remove_crash(entry, 0);
+    uint32_t place = entry->crash_count++;
+    while (place && entry->crashes[place - 1].ended_at > crash->ended_at) {
+        entry->crashes[place] = entry->crashes[place - 1];
         place--;
     }
-    entry->starts[place] = *start;
+    entry->crashes[place] = *crash;
 }
 
 /* \return place, or the number of starts */
-static uint32_t find_start(const struct crash_entry *entry, uint64_t start)
+static uint32_t find_crash(const struct crash_entry *entry, uint64_t incarnation)
 {
     uint32_t place = 0;
-    while (place < entry->start_count && entry->starts[place].start != start)
+    while (place < entry->crash_count && entry->crashes[place].incarnation != incarnation)
         place++;
     return place;
 }
 
 /* What stands for the start after one, of which nobody has said yet when it was born. */
-static uint64_t next_start(uint64_t start)
+static uint64_t next_incarnation(uint64_t incarnation)
 {
-    return hash_pair(start, 1);
+    return hash_pair(incarnation, 1);
 }
 
 static uint64_t earlier_known(uint64_t left, uint64_t right)
@@ -128,36 +130,36 @@
 }
 
 /* What two nodes saw of one end. */
-static void join_start(struct crash_start *known, const struct crash_start *other)
+static void merge_crash(struct crash_event *known, const struct crash_event *other)
 {
     if (other->ended_at < known->ended_at)
         known->ended_at = other->ended_at;
-    known->dead_at = earlier_known(known->dead_at, other->dead_at);
+    known->detected_at = earlier_known(known->detected_at, other->detected_at);
     known->began_at = earlier_known(known->began_at, other->began_at);
 }
 
-static bool add_new_start(struct crash_entry *entry, const struct crash_start *start)
+static bool add_new_crash(struct crash_entry *entry, const struct crash_event *crash)
 {
-    bool full = entry->start_count == CRASH_STARTS_KEPT;
-    if (full && start->ended_at <= entry->starts[0].ended_at)
+    bool full = entry->crash_count == CRASH_MAX_EVENTS;
+    if (full && crash->ended_at <= entry->crashes[0].ended_at)
         return false;
-    insert_start(entry, start);
-    entry->shared |= entry->start_count > 1;
+    insert_crash(entry, crash);
+    entry->shared |= entry->crash_count > 1;
     return true;
 }
 
 /* \return whether the start was not held. An earlier time of a known one is no news. */
-static bool add_start(struct crash_entry *entry, const struct crash_start *start)
+static bool add_crash(struct crash_entry *entry, const struct crash_event *crash)
 {
-    if (start->ended_at <= entry->cleared_at)
+    if (crash->ended_at <= entry->cleared_at)
         return false;
-    uint32_t place = find_start(entry, start->start);
-    if (place == entry->start_count)
-        return add_new_start(entry, start);
-    struct crash_start known = entry->starts[place];
-    remove_start(entry, place);
-    join_start(&known, start);
-    insert_start(entry, &known);
+    uint32_t place = find_crash(entry, crash->incarnation);
+    if (place == entry->crash_count)
+        return add_new_crash(entry, crash);
+    struct crash_event known = entry->crashes[place];
+    remove_crash(entry, place);
+    merge_crash(&known, crash);
+    insert_crash(entry, &known);
     return false;
 }
 
@@ -168,8 +170,8 @@
     bool is_news = at && !entry->cleared_at;
     if (at > entry->cleared_at)
         entry->cleared_at = at;
-    while (entry->start_count && entry->starts[0].ended_at <= at) {
-        remove_start(entry, 0);
+    while (entry->crash_count && entry->crashes[0].ended_at <= at) {
+        remove_crash(entry, 0);
         is_news = true;
     }
     return is_news;
@@ -198,12 +200,12 @@
 
 static bool has_less_evidence(const struct crash_entry *entry, const struct crash_entry *than)
 {
-    if (entry->start_count != than->start_count)
-        return entry->start_count < than->start_count;
-    return newest_end(entry) < newest_end(than);
+    if (entry->crash_count != than->crash_count)
+        return entry->crash_count < than->crash_count;
+    return latest_crash_at(entry) < latest_crash_at(than);
 }
 
-static struct crash_entry *least_suspect(struct crash_table *table)
+static struct crash_entry *least_evidence(struct crash_table *table)
 {
     struct crash_entry *least = &table->entries[0];
     for (uint32_t i = 1; i < table->count; i++)
@@ -219,50 +221,50 @@
     if (entry)
         return entry;
     entry =
-        table->count < CRASH_ENTRIES_MOST ? &table->entries[table->count++] : least_suspect(table);
+        table->count < CRASH_MAX_ENTRIES ? &table->entries[table->count++] : least_evidence(table);
     *entry = (struct crash_entry){.identity = *identity};
     table->prefixes[entry - table->entries] = prefix_of(identity);
     return entry;
 }
 
 /* \return the first time at which a start was known to have ended, 0: it is not */
-static uint64_t dead_since(const struct crash_table *table, uint64_t start)
+static uint64_t detected_since(const struct crash_table *table, uint64_t incarnation)
 {
-    uint64_t dead_at = 0;
+    uint64_t detected_at = 0;
     for (uint32_t i = 0; i < table->count; i++) {
         const struct crash_entry *entry = &table->entries[i];
-        uint32_t place = find_start(entry, start);
-        if (place < entry->start_count)
-            dead_at = earlier_known(dead_at, entry->starts[place].dead_at);
+        uint32_t place = find_crash(entry, incarnation);
+        if (place < entry->crash_count)
+            detected_at = earlier_known(detected_at, entry->crashes[place].detected_at);
     }
-    return dead_at;
+    return detected_at;
 }
 
-uint64_t crash_table_start_of_run(const struct crash_table *table, uint64_t start,
-                                  uint64_t began_at)
+uint64_t crash_table_incarnation_of_run(const struct crash_table *table, uint64_t incarnation,
+                                        uint64_t began_at)
 {
-    uint64_t dead_at = dead_since(table, start);
-    while (dead_at && dead_at + CRASH_SAME_MOMENT_US < began_at) {
-        start = next_start(start);
-        dead_at = dead_since(table, start);
+    uint64_t detected_at = detected_since(table, incarnation);
+    while (detected_at && detected_at + CRASH_SIMULTANEOUS_US < began_at) {
+        incarnation = next_incarnation(incarnation);
+        detected_at = detected_since(table, incarnation);
     }
-    return start;
+    return incarnation;
 }
 
 bool crash_table_add(struct crash_table *table, const struct request_identity *identity,
-                     const struct crash_start *start)
+                     const struct crash_event *crash)
 {
     struct crash_entry *entry = find_or_add(table, identity);
-    bool is_new = add_start(entry, start);
-    *table->judged_until = 0;
-    entry->untold |= is_new;
+    bool is_new = add_crash(entry, crash);
+    *table->findings_valid_until = 0;
+    entry->is_dirty |= is_new;
     return is_new;
 }
 
-bool crash_entry_is_of_one_attempt(const struct crash_entry *entry)
+bool crash_entry_has_single_attempt(const struct crash_entry *entry)
 {
-    for (uint32_t i = 1; i < entry->start_count; i++)
-        if (entry->starts[i].attempt != entry->starts[0].attempt)
+    for (uint32_t i = 1; i < entry->crash_count; i++)
+        if (entry->crashes[i].attempt != entry->crashes[0].attempt)
             return false;
     return true;
 }
@@ -270,27 +272,27 @@
 /* A stream that went on elsewhere did only the rest of its work there: that it ran well says
  * nothing of ends that came after a longer run. One attempt that is done does not come again, and
  * must not make others' ends ambiguous. */
-static bool outlasted_all(const struct crash_entry *entry, uint64_t ran_us)
+static bool outlasted_crashed_runs(const struct crash_entry *entry, uint64_t ran_us)
 {
-    for (uint32_t i = 0; i < entry->start_count; i++) {
-        const struct crash_start *start = &entry->starts[i];
-        if (!start->began_at || start->ended_at - start->began_at > ran_us)
+    for (uint32_t i = 0; i < entry->crash_count; i++) {
+        const struct crash_event *crash = &entry->crashes[i];
+        if (!crash->began_at || crash->ended_at - crash->began_at > ran_us)
             return false;
     }
     return true;
 }
 
-bool crash_table_clear(struct crash_table *table, const struct request_identity *identity,
-                       uint64_t at, uint64_t ran_us)
+bool crash_table_record_success(struct crash_table *table, const struct request_identity *identity,
+                                uint64_t at, uint64_t ran_us)
 {
     struct crash_entry *entry = lookup(table, identity);
-    if (!entry || !entry->start_count ||
-        (ran_us != CRASH_RAN_WHOLE && !crash_entry_is_of_one_attempt(entry) &&
-         !outlasted_all(entry, ran_us)))
+    if (!entry || !entry->crash_count ||
+        (ran_us != CRASH_FULL_RUN && !crash_entry_has_single_attempt(entry) &&
+         !outlasted_crashed_runs(entry, ran_us)))
         return false;
     clear_until(entry, at);
-    *table->judged_until = 0;
-    entry->untold = true; /* to whom the ends were told */
+    *table->findings_valid_until = 0;
+    entry->is_dirty = true; /* to whom the ends were told */
     return true;
 }
 
@@ -298,15 +300,15 @@
 {
     struct crash_entry *entry = find_or_add(table, &other->identity);
     bool changed = clear_until(entry, other->cleared_at);
-    *table->judged_until = 0;
-    for (uint32_t i = 0; i < other->start_count; i++)
-        changed |= add_start(entry, &other->starts[i]);
+    *table->findings_valid_until = 0;
+    for (uint32_t i = 0; i < other->crash_count; i++)
+        changed |= add_crash(entry, &other->crashes[i]);
     if (crash_lease_replaces(&other->lease, &entry->lease)) {
         entry->lease = other->lease;
         changed = true;
     }
-    entry->shared |= !other->start_count; /* only of these one tells that they are cleared */
-    entry->untold |= changed && entry->shared;
+    entry->shared |= !other->crash_count; /* only of these one tells that they are cleared */
+    entry->is_dirty |= changed && entry->shared;
     return changed;
 }
 
@@ -318,26 +320,26 @@
 find_finding(const struct crash_table *table, const struct request_identity *identity, uint64_t now)
 {
     const struct crash_entry *entry = table->count ? lookup(table, identity) : NULL;
-    if (!entry || !entry->start_count)
+    if (!entry || !entry->crash_count)
         return NULL;
-    if (now >= *table->judged_until)
-        *table->judged_until =
-            crash_verdict_judge(table->entries, table->count, now, table->findings);
+    if (now >= *table->findings_valid_until)
+        *table->findings_valid_until =
+            crash_verdict_evaluate(table->entries, table->count, now, table->findings);
     return &table->findings[entry - table->entries];
 }
 
-enum crash_verdict crash_table_judge(const struct crash_table *table,
-                                     const struct request_identity *identity, uint64_t now)
+enum crash_verdict crash_table_verdict(const struct crash_table *table,
+                                       const struct request_identity *identity, uint64_t now)
 {
     const struct crash_finding *finding = find_finding(table, identity, now);
     if (!finding)
-        return CRASH_NO_SUSPECT;
-    bool lately = now < newest_end(lookup(table, identity)) + CRASH_BLOCK_US;
-    return finding->blocked && lately ? CRASH_BLOCKED : CRASH_SUSPECT;
+        return CRASH_VERDICT_NONE;
+    bool lately = now < latest_crash_at(lookup(table, identity)) + CRASH_BLOCK_DURATION_US;
+    return finding->blocked && lately ? CRASH_VERDICT_BLOCKED : CRASH_VERDICT_SUSPECT;
 }
 
-bool crash_table_isolates(const struct crash_table *table, const struct request_identity *identity,
-                          uint64_t now)
+bool crash_table_requires_isolation(const struct crash_table *table,
+                                    const struct request_identity *identity, uint64_t now)
 {
     return crash_table_finding(table, identity, now).isolated;
 }
@@ -355,7 +357,7 @@
     const struct crash_finding *finding = find_finding(table, identity, now);
     if (!finding || finding->settled)
         return 0;
-    return crash_verdict_held_until(finding, newest_end(lookup(table, identity)), now);
+    return crash_verdict_held_until(finding, latest_crash_at(lookup(table, identity)), now);
 }
 
 /* --- leases --------------------------------------------------------------------------------------
@@ -372,44 +374,47 @@
     return memcmp(&entry->identity, &than->identity, sizeof entry->identity) < 0;
 }
 
-struct crash_lease crash_table_lease(struct crash_table *table,
-                                     const struct request_identity *identity, uint64_t start,
-                                     uint64_t now)
+struct crash_lease crash_table_acquire_lease(struct crash_table *table,
+                                             const struct request_identity *identity,
+                                             uint64_t incarnation, uint64_t now)
 {
     struct crash_entry *entry = lookup(table, identity);
     if (!entry)
         return (struct crash_lease){0};
-    if (crash_lease_is_valid(&entry->lease, now) && entry->lease.start == start)
+    if (crash_lease_is_valid(&entry->lease, now) && entry->lease.incarnation == incarnation)
         return entry->lease;
-    entry->lease = (struct crash_lease){start, now};
-    entry->untold = true;
+    entry->lease = (struct crash_lease){incarnation, now};
+    entry->is_dirty = true;
     return entry->lease;
 }
 
-uint32_t crash_table_barred(const struct crash_table *table,
-                            const struct request_identity *identity, uint64_t now, uint64_t *starts)
+uint32_t crash_table_leased_to_others(const struct crash_table *table,
+                                      const struct request_identity *identity, uint64_t now,
+                                      uint64_t *incarnations)
 {
     uint32_t count = 0;
     const struct crash_finding *own_finding = find_finding(table, identity, now);
     const struct crash_entry *own = own_finding ? lookup(table, identity) : NULL;
-    for (uint32_t i = 0; own && i < table->count && count < CRASH_BARRED_MOST; i++) {
+    for (uint32_t i = 0; own && i < table->count && count < CRASH_MAX_LEASED_INCARNATIONS; i++) {
         const struct crash_entry *other = &table->entries[i];
         if (other == own || !table->findings[i].isolated ||
             !crash_lease_is_valid(&other->lease, now))
             continue;
         struct crash_lease lease = own->lease;
-        if (lease.start != other->lease.start)
-            lease = (struct crash_lease){other->lease.start, now};
-        if (!crash_lease_goes_before(&lease, &other->lease, is_more_suspect(table, own, other)))
-            starts[count++] = other->lease.start;
+        if (lease.incarnation != other->lease.incarnation)
+            lease = (struct crash_lease){other->lease.incarnation, now};
+        if (!crash_lease_takes_precedence(&lease, &other->lease,
+                                          is_more_suspect(table, own, other)))
+            incarnations[count++] = other->lease.incarnation;
     }
     return count;
 }
 
-static bool is_over(const struct crash_entry *entry, uint64_t now)
+static bool is_expired(const struct crash_entry *entry, uint64_t now)
 {
-    uint64_t newest = newest_end(entry) > entry->cleared_at ? newest_end(entry) : entry->cleared_at;
-    return now >= newest + (entry->shared ? CRASH_REMEMBER_US : CRASH_SUSPECT_US);
+    uint64_t newest =
+        latest_crash_at(entry) > entry->cleared_at ? latest_crash_at(entry) : entry->cleared_at;
+    return now >= newest + (entry->shared ? CRASH_SHARED_TTL_US : CRASH_SINGLE_TTL_US);
 }
 
 static void remove_entry(struct crash_table *table, uint32_t place)
@@ -422,9 +427,9 @@
 void crash_table_trim(struct crash_table *table, uint64_t now)
 {
     for (uint32_t i = table->count; i-- > 0;)
-        if (is_over(&table->entries[i], now))
+        if (is_expired(&table->entries[i], now))
             remove_entry(table, i);
-    *table->judged_until = 0;
+    *table->findings_valid_until = 0;
 }
 
 uint32_t crash_table_count(const struct crash_table *table)
@@ -447,9 +452,9 @@
 {
     uint64_t digest = 0;
     uint64_t identity = hash_bytes(entry->identity.bytes, sizeof entry->identity.bytes);
-    for (uint32_t i = 0; i < entry->start_count; i++)
-        if (now >= entry->starts[i].ended_at + CRASH_SETTLED_US)
-            digest ^= hash_pair(identity, entry->starts[i].start);
+    for (uint32_t i = 0; i < entry->crash_count; i++)
+        if (now >= entry->crashes[i].ended_at + CRASH_DIGEST_DELAY_US)
+            digest ^= hash_pair(identity, entry->crashes[i].incarnation);
     return digest;
 }
 
@@ -457,7 +462,7 @@
 {
     uint64_t digest = 0;
     for (uint32_t i = 0; i < table->count; i++)
-        if (table->entries[i].start_count > 1)
+        if (table->entries[i].crash_count > 1)
             digest ^= digest_of_entry(&table->entries[i], now);
     return digest;
 }
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -42,7 +42,7 @@
     struct edge *edge;
     struct backend *backend;
     bool planned;       /* it had said that it leaves: its end is no evidence */
-    uint64_t start;     /* crash_start_key() */
+    uint64_t start;     /* crash_incarnation_key() */
     uint64_t began_at;  /* when the last of these requests began there; 0: not known */
     uint64_t broken_at; /* when the last request broke off */
     enum crash_check_state state;
@@ -96,8 +96,9 @@
               "identity=%s backend=%s born=%" PRIu64 " start=%08" PRIx32
               " starts=%u weight=%u unexplained=%u proofs=%u isolated=%d outcome=%s",
               hex, check->backend->listing.id, check->backend->listing.born, (uint32_t)check->start,
-              entry->start_count, crash_entry_weight(entry), finding.unexplained, finding.proofs,
-              finding.isolated, crash_verdict_name(crash_table_judge(table, &run->identity, now)));
+              entry->crash_count, crash_entry_distinct_crashes(entry), finding.unexplained,
+              finding.proofs, finding.isolated,
+              crash_verdict_name(crash_table_verdict(table, &run->identity, now)));
 }
 
 /* All that were there are known before any of them is judged. */
@@ -105,14 +106,14 @@
 {
     struct crash_table *table = crash_sync_table(check->edge->cluster.crashes);
     uint64_t now = cluster_now();
-    check->start = crash_table_start_of_run(table, check->start, check->began_at);
+    check->start = crash_table_incarnation_of_run(table, check->start, check->began_at);
     for (uint32_t i = 0; i < check->run_count; i++) {
         const struct lost_run *run = &check->runs[i];
-        struct crash_start start = {.start = check->start,
+        struct crash_event start = {.incarnation = check->start,
                                     .ended_at = check->broken_at,
                                     .attempt = run->attempt,
                                     .began_at = run->began_at,
-                                    .dead_at = now};
+                                    .detected_at = now};
         if (was_at_end(check, run))
             crash_table_add(table, &run->identity, &start);
     }
@@ -223,7 +224,7 @@
     struct crash_check *check = memory_zero(1, sizeof *check);
     check->edge = edge;
     check->backend = backend_retain(backend);
-    check->start = crash_start_key(backend->listing.id, backend->listing.born);
+    check->start = crash_incarnation_key(backend->listing.id, backend->listing.born);
     uv_timer_init(edge->loop, &check->timer);
     check->timer.data = check;
     check->open_handles = 1;
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -68,7 +68,7 @@
     struct edge_client *clients;
     struct upstream *upstreams;       /**< all connections to back ends, the newest first */
     struct crash_check *crash_checks; /**< broken connections whose back end may have ended */
-    uint64_t barred_starts[CRASH_BARRED_MOST]; /**< to the request that is placed now */
+    uint64_t barred_starts[CRASH_MAX_LEASED_INCARNATIONS]; /**< to the request that is placed now */
     struct exchange *waiting; /**< requests that wait for a place, most urgent first */
     uint32_t active;          /**< requests that have no final answer yet */
     uint32_t gateways;        /**< alive now, at least 1 */
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -23,7 +23,7 @@
 {
     const struct crash_table *table = table_of(exchange);
     return crash_table_count(table) &&
-           crash_table_isolates(table, exchange_identity(exchange), cluster_now());
+           crash_table_requires_isolation(table, exchange_identity(exchange), cluster_now());
 }
 
 static void note_held(struct exchange *exchange, const char *reason)
@@ -44,7 +44,7 @@
  * all the others that were there. */
 static bool awaits_end(struct exchange *exchange, const struct crash_entry *entry)
 {
-    return exchange->suspected && entry && entry->start_count &&
+    return exchange->suspected && entry && entry->crash_count &&
            crash_watch_is_checking(exchange->edge, exchange_last_tried(exchange));
 }
 
@@ -58,7 +58,7 @@
     if (!entry)
         return 0;
     if (now < crash_entry_settled_at(entry) &&
-        crash_table_judge(table_of(exchange), &entry->identity, now) == CRASH_BLOCKED) {
+        crash_table_verdict(table_of(exchange), &entry->identity, now) == CRASH_VERDICT_BLOCKED) {
         note_held(exchange, "verdict-not-settled");
         return crash_entry_settled_at(entry);
     }
@@ -90,10 +90,11 @@
     uint64_t *barred = exchange->edge->barred_starts;
     wish->isolated = is_isolated(exchange);
     wish->barred_starts = barred;
-    wish->barred_count = crash_table_barred(table_of(exchange), &entry->identity, now, barred);
+    wish->barred_count =
+        crash_table_leased_to_others(table_of(exchange), &entry->identity, now, barred);
     if (!wish->isolated)
         return;
-    wish->leased_start = crash_lease_is_valid(&entry->lease, now) ? entry->lease.start : 0;
+    wish->leased_start = crash_lease_is_valid(&entry->lease, now) ? entry->lease.incarnation : 0;
     if (wish->barred_count)
         note_held(exchange, "others-run-apart");
 }
@@ -113,12 +114,12 @@
 {
     if (!is_isolated(exchange))
         return 0;
-    uint64_t start = crash_start_key(backend->listing.id, backend->listing.born);
+    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
     struct crash_lease lease =
-        crash_table_lease(table_of(exchange), exchange_identity(exchange), start, now);
+        crash_table_acquire_lease(table_of(exchange), exchange_identity(exchange), start, now);
     log_lease(exchange, backend, &lease, now);
     crash_sync_tell(exchange->edge->cluster.crashes);
-    return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_SETTLES_US;
+    return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_PROPAGATION_US;
 }
 
 /* A begun stream is held for as long as it has; any other is refused at once where its turn to run
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -39,8 +39,8 @@
 {
     const struct crash_table *table = table_of(exchange);
     if (!crash_table_count(table))
-        return CRASH_NO_SUSPECT;
-    return crash_table_judge(table, exchange_identity(exchange), cluster_now());
+        return CRASH_VERDICT_NONE;
+    return crash_table_verdict(table, exchange_identity(exchange), cluster_now());
 }
 
 /* On which ends the verdict rests: their keys and ages. */
@@ -52,10 +52,10 @@
     char identity[REQUEST_IDENTITY_HEX_SIZE];
     char ends[ENDS_TEXT_SIZE] = "";
     size_t length = 0;
-    for (uint32_t i = 0; i < entry->start_count && length < sizeof ends; i++)
+    for (uint32_t i = 0; i < entry->crash_count && length < sizeof ends; i++)
         length += (size_t)snprintf(ends + length, sizeof ends - length, "%s%08" PRIx32 "@%" PRIu64,
-                                   i ? "," : "", (uint32_t)entry->starts[i].start,
-                                   (now - entry->starts[i].ended_at) / MS_US);
+                                   i ? "," : "", (uint32_t)entry->crashes[i].incarnation,
+                                   (now - entry->crashes[i].ended_at) / MS_US);
     request_identity_to_hex(&exchange->identity, identity);
     log_event(LOG_LEVEL_WARN, "crash", "blocked",
               "request=%s identity=%s unexplained=%u proofs=%u ends_ms_ago=%s", exchange->head.id,
@@ -64,7 +64,7 @@
 
 bool exchange_is_blocked(struct exchange *exchange)
 {
-    if (judge(exchange) != CRASH_BLOCKED)
+    if (judge(exchange) != CRASH_VERDICT_BLOCKED)
         return false;
     const struct crash_entry *entry = crash_table_find(table_of(exchange), &exchange->identity);
     uint64_t now = cluster_now();
@@ -82,7 +82,7 @@
 
 uint64_t exchange_rank_key(struct exchange *exchange)
 {
-    if (!exchange->suspected && judge(exchange) == CRASH_NO_SUSPECT)
+    if (!exchange->suspected && judge(exchange) == CRASH_VERDICT_NONE)
         return 0;
     const struct request_identity *identity = exchange_identity(exchange);
     return hash_bytes(identity->bytes, sizeof identity->bytes) | 1;
@@ -109,15 +109,15 @@
 static uint64_t ran_us(const struct exchange *exchange)
 {
     bool rest = exchange->resuming || exchange->head.last_event_id[0];
-    return rest ? cluster_now() - exchange->sent_at : CRASH_RAN_WHOLE;
+    return rest ? cluster_now() - exchange->sent_at : CRASH_FULL_RUN;
 }
 
 void exchange_ran_well(struct exchange *exchange)
 {
     struct crash_table *table = table_of(exchange);
     char hex[REQUEST_IDENTITY_HEX_SIZE];
-    if (!crash_table_count(table) ||
-        !crash_table_clear(table, exchange_identity(exchange), cluster_now(), ran_us(exchange)))
+    if (!crash_table_count(table) || !crash_table_record_success(table, exchange_identity(exchange),
+                                                                 cluster_now(), ran_us(exchange)))
         return;
     request_identity_to_hex(exchange_identity(exchange), hex);
     log_event(LOG_LEVEL_INFO, "crash", "cleared", "request=%s identity=%s", exchange->head.id, hex);
--- a/tests/core/crash_table_test.c
+++ b/tests/core/crash_table_test.c
@@ -8,8 +8,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SECOND ((uint64_t)1000000)
-#define BEGIN (1000 * SECOND)
+#define SECOND_US ((uint64_t)1000000)
+#define START_US (1000 * SECOND_US)
 
 static struct request_identity identity_of(uint32_t number)
 {
@@ -18,263 +18,271 @@
     return identity;
 }
 
-static void ended_in(struct crash_table *table, uint32_t request, uint64_t start, uint64_t at,
-                     uint32_t attempt)
+static void add_crash_of_attempt(struct crash_table *table, uint32_t request, uint64_t incarnation,
+                                 uint64_t at, uint32_t attempt)
 {
     struct request_identity identity = identity_of(request);
-    struct crash_start end = {.start = start, .ended_at = at, .attempt = attempt, .dead_at = at};
+    struct crash_event end = {
+        .incarnation = incarnation, .ended_at = at, .attempt = attempt, .detected_at = at};
     crash_table_add(table, &identity, &end);
 }
 
 /* Each time in another attempt of the caller. */
-static void ended(struct crash_table *table, uint32_t request, uint64_t start, uint64_t at)
+static void add_crash(struct crash_table *table, uint32_t request, uint64_t incarnation,
+                      uint64_t at)
 {
-    ended_in(table, request, start, at, (uint32_t)start);
+    add_crash_of_attempt(table, request, incarnation, at, (uint32_t)incarnation);
 }
 
 static enum crash_verdict verdict(const struct crash_table *table, uint32_t request, uint64_t now)
 {
     struct request_identity identity = identity_of(request);
-    return crash_table_judge(table, &identity, now);
+    return crash_table_verdict(table, &identity, now);
 }
 
-static void ran_well(struct crash_table *table, uint32_t request, uint64_t at)
+static void record_success(struct crash_table *table, uint32_t request, uint64_t at)
 {
     struct request_identity identity = identity_of(request);
-    crash_table_clear(table, &identity, at, CRASH_RAN_WHOLE);
+    crash_table_record_success(table, &identity, at, CRASH_FULL_RUN);
 }
 
-static void three_ended_starts_block_a_request(void **state)
+static void three_crashes_block_a_request(void **state)
 {
     struct crash_table *table = crash_table_create();
-    assert_int_equal(verdict(table, 1, BEGIN), CRASH_NO_SUSPECT);
-    ended(table, 1, 11, BEGIN);
-    assert_int_equal(verdict(table, 1, BEGIN), CRASH_SUSPECT);
-    ended(table, 1, 12, BEGIN + SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + SECOND), CRASH_SUSPECT);
-    ended(table, 1, 13, BEGIN + 2 * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 2 * SECOND), CRASH_BLOCKED);
-    assert_int_equal(verdict(table, 2, BEGIN + 2 * SECOND), CRASH_NO_SUSPECT);
+    assert_int_equal(verdict(table, 1, START_US), CRASH_VERDICT_NONE);
+    add_crash(table, 1, 11, START_US);
+    assert_int_equal(verdict(table, 1, START_US), CRASH_VERDICT_SUSPECT);
+    add_crash(table, 1, 12, START_US + SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + SECOND_US), CRASH_VERDICT_SUSPECT);
+    add_crash(table, 1, 13, START_US + 2 * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_BLOCKED);
+    assert_int_equal(verdict(table, 2, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
     crash_table_destroy(table);
 }
 
-static void a_start_counts_once_whoever_reports_it(void **state)
+static void incarnation_counts_once_for_all_reporters(void **state)
 {
     struct crash_table *table = crash_table_create();
     for (uint64_t gateway = 0; gateway < 7; gateway++)
-        ended(table, 1, 11, BEGIN + gateway * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN), CRASH_SUSPECT);
-    assert_int_equal(crash_table_at(table, 0)->start_count, 1);
-    assert_int_equal(crash_table_at(table, 0)->starts[0].ended_at, BEGIN);
+        add_crash(table, 1, 11, START_US + gateway * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US), CRASH_VERDICT_SUSPECT);
+    assert_int_equal(crash_table_at(table, 0)->crash_count, 1);
+    assert_int_equal(crash_table_at(table, 0)->crashes[0].ended_at, START_US);
     crash_table_destroy(table);
 }
 
-static void starts_of_one_id_are_told_apart(void **state)
+static void incarnations_of_one_backend_have_different_keys(void **state)
 {
-    assert_int_not_equal(crash_start_key("engine-1", 5), crash_start_key("engine-1", 6));
-    assert_int_not_equal(crash_start_key("engine-1", 0), crash_start_key("engine-2", 0));
-    assert_int_equal(crash_start_key("engine-1", 5), crash_start_key("engine-1", 5));
+    assert_int_not_equal(crash_incarnation_key("engine-1", 5),
+                         crash_incarnation_key("engine-1", 6));
+    assert_int_not_equal(crash_incarnation_key("engine-1", 0),
+                         crash_incarnation_key("engine-2", 0));
+    assert_int_equal(crash_incarnation_key("engine-1", 5), crash_incarnation_key("engine-1", 5));
 }
 
 /* A request whose like runs everywhere is at each end when a zone loses power. */
-static void many_that_end_at_one_moment_count_once(void **state)
+static void simultaneous_crashes_count_once(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 0; start < 6; start++)
-        ended(table, 1, start, BEGIN + start * 2000);
-    assert_int_equal(verdict(table, 1, BEGIN + SECOND), CRASH_SUSPECT);
+    for (uint64_t incarnation = 0; incarnation < 6; incarnation++)
+        add_crash(table, 1, incarnation, START_US + incarnation * 2000);
+    assert_int_equal(verdict(table, 1, START_US + SECOND_US), CRASH_VERDICT_SUSPECT);
     crash_table_destroy(table);
 }
 
-static void who_was_there_with_another_one_is_not_blocked(void **state)
+static void requests_with_the_same_crashes_are_not_blocked(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 1; start <= 3; start++) {
-        ended(table, 1, start, BEGIN + start * SECOND);
-        ended(table, 2, start, BEGIN + start * SECOND);
+    for (uint64_t incarnation = 1; incarnation <= 3; incarnation++) {
+        add_crash(table, 1, incarnation, START_US + incarnation * SECOND_US);
+        add_crash(table, 2, incarnation, START_US + incarnation * SECOND_US);
     }
-    assert_int_equal(verdict(table, 1, BEGIN + 3 * SECOND), CRASH_SUSPECT);
-    assert_int_equal(verdict(table, 2, BEGIN + 3 * SECOND), CRASH_SUSPECT);
+    assert_int_equal(verdict(table, 1, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
+    assert_int_equal(verdict(table, 2, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
     /* One of them alone was at the next end: it explains all the others. */
-    ended(table, 1, 4, BEGIN + 4 * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 4 * SECOND), CRASH_BLOCKED);
-    assert_int_equal(verdict(table, 2, BEGIN + 4 * SECOND), CRASH_SUSPECT);
+    add_crash(table, 1, 4, START_US + 4 * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 4 * SECOND_US), CRASH_VERDICT_BLOCKED);
+    assert_int_equal(verdict(table, 2, START_US + 4 * SECOND_US), CRASH_VERDICT_SUSPECT);
     crash_table_destroy(table);
 }
 
-static void two_that_always_meet_are_blocked_in_the_end(void **state)
+static void requests_always_together_are_blocked_eventually(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 1; start <= CRASH_STARTS_TO_BLOCK_ANY; start++) {
-        ended(table, 1, start, BEGIN + start * SECOND);
-        ended(table, 2, start, BEGIN + start * SECOND);
+    for (uint64_t incarnation = 1; incarnation <= CRASHES_TO_BLOCK_WITHOUT_PROOF; incarnation++) {
+        add_crash(table, 1, incarnation, START_US + incarnation * SECOND_US);
+        add_crash(table, 2, incarnation, START_US + incarnation * SECOND_US);
     }
-    assert_int_equal(verdict(table, 1, BEGIN + 6 * SECOND), CRASH_BLOCKED);
-    assert_int_equal(verdict(table, 2, BEGIN + 6 * SECOND), CRASH_BLOCKED);
+    assert_int_equal(verdict(table, 1, START_US + 6 * SECOND_US), CRASH_VERDICT_BLOCKED);
+    assert_int_equal(verdict(table, 2, START_US + 6 * SECOND_US), CRASH_VERDICT_BLOCKED);
     crash_table_destroy(table);
 }
 
 /* A begun stream goes on at the next engine: one attempt of its caller may meet the ends that
  * others are the cause of. */
-static void one_attempt_at_three_ends_is_not_enough(void **state)
+static void single_attempt_needs_more_than_three_crashes(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 1; start <= 3; start++)
-        ended_in(table, 1, start, BEGIN + start * SECOND, 77);
-    assert_int_equal(verdict(table, 1, BEGIN + 3 * SECOND), CRASH_SUSPECT);
-    ended_in(table, 1, 4, BEGIN + 4 * SECOND, 77);
-    assert_int_equal(verdict(table, 1, BEGIN + 4 * SECOND), CRASH_BLOCKED);
+    for (uint64_t incarnation = 1; incarnation <= 3; incarnation++)
+        add_crash_of_attempt(table, 1, incarnation, START_US + incarnation * SECOND_US, 77);
+    assert_int_equal(verdict(table, 1, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
+    add_crash_of_attempt(table, 1, 4, START_US + 4 * SECOND_US, 77);
+    assert_int_equal(verdict(table, 1, START_US + 4 * SECOND_US), CRASH_VERDICT_BLOCKED);
     crash_table_destroy(table);
 }
 
-static void a_good_end_clears(void **state)
+static void successful_run_clears_a_request(void **state)
 {
     struct crash_table *table = crash_table_create();
-    ended(table, 1, 1, BEGIN);
-    ended(table, 1, 2, BEGIN + SECOND);
-    ran_well(table, 1, BEGIN + 2 * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 2 * SECOND), CRASH_NO_SUSPECT);
+    add_crash(table, 1, 1, START_US);
+    add_crash(table, 1, 2, START_US + SECOND_US);
+    record_success(table, 1, START_US + 2 * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
     /* News of an end before that come late. */
-    ended(table, 1, 3, BEGIN + SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 2 * SECOND), CRASH_NO_SUSPECT);
-    ended(table, 1, 4, BEGIN + 3 * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 3 * SECOND), CRASH_SUSPECT);
+    add_crash(table, 1, 3, START_US + SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
+    add_crash(table, 1, 4, START_US + 3 * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
     crash_table_destroy(table);
 }
 
-static void a_blocked_request_is_tried_again_some_day(void **state)
+static void blocked_request_is_retried_after_the_block_duration(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 1; start <= 3; start++)
-        ended(table, 1, start, BEGIN + start * SECOND);
-    uint64_t later = BEGIN + 3 * SECOND + CRASH_BLOCK_US;
-    assert_int_equal(verdict(table, 1, later - 1), CRASH_BLOCKED);
-    assert_int_equal(verdict(table, 1, later), CRASH_SUSPECT);
+    for (uint64_t incarnation = 1; incarnation <= 3; incarnation++)
+        add_crash(table, 1, incarnation, START_US + incarnation * SECOND_US);
+    uint64_t later = START_US + 3 * SECOND_US + CRASH_BLOCK_DURATION_US;
+    assert_int_equal(verdict(table, 1, later - 1), CRASH_VERDICT_BLOCKED);
+    assert_int_equal(verdict(table, 1, later), CRASH_VERDICT_SUSPECT);
     crash_table_trim(table, later);
-    ended(table, 1, 4, later + SECOND);
-    assert_int_equal(verdict(table, 1, later + SECOND), CRASH_BLOCKED);
+    add_crash(table, 1, 4, later + SECOND_US);
+    assert_int_equal(verdict(table, 1, later + SECOND_US), CRASH_VERDICT_BLOCKED);
     crash_table_destroy(table);
 }
 
-static void one_end_is_forgotten_soon_and_more_are_not(void **state)
+static void single_crash_expires_sooner_than_several(void **state)
 {
     struct crash_table *table = crash_table_create();
-    ended(table, 1, 1, BEGIN);
-    ended(table, 2, 1, BEGIN);
-    ended(table, 2, 2, BEGIN + SECOND);
-    crash_table_trim(table, BEGIN + CRASH_SUSPECT_US - 1);
+    add_crash(table, 1, 1, START_US);
+    add_crash(table, 2, 1, START_US);
+    add_crash(table, 2, 2, START_US + SECOND_US);
+    crash_table_trim(table, START_US + CRASH_SINGLE_TTL_US - 1);
     assert_int_equal(crash_table_count(table), 2);
-    crash_table_trim(table, BEGIN + CRASH_SUSPECT_US);
+    crash_table_trim(table, START_US + CRASH_SINGLE_TTL_US);
     assert_int_equal(crash_table_count(table), 1);
-    crash_table_trim(table, BEGIN + SECOND + CRASH_REMEMBER_US);
+    crash_table_trim(table, START_US + SECOND_US + CRASH_SHARED_TTL_US);
     assert_int_equal(crash_table_count(table), 0);
     crash_table_destroy(table);
 }
 
-static void a_full_table_keeps_the_most_suspect(void **state)
+static void full_table_keeps_the_most_suspect_requests(void **state)
 {
     struct crash_table *table = crash_table_create();
-    for (uint64_t start = 1; start <= 3; start++)
-        ended(table, 0, start, BEGIN + start * SECOND);
-    for (uint32_t request = 1; request < 2 * CRASH_ENTRIES_MOST; request++)
-        ended(table, request, 9, BEGIN + 4 * SECOND + request);
-    assert_int_equal(crash_table_count(table), CRASH_ENTRIES_MOST);
-    assert_int_equal(verdict(table, 0, BEGIN + 5 * SECOND), CRASH_BLOCKED);
-    assert_int_equal(verdict(table, 2 * CRASH_ENTRIES_MOST - 1, BEGIN + 5 * SECOND), CRASH_SUSPECT);
+    for (uint64_t incarnation = 1; incarnation <= 3; incarnation++)
+        add_crash(table, 0, incarnation, START_US + incarnation * SECOND_US);
+    for (uint32_t request = 1; request < 2 * CRASH_MAX_ENTRIES; request++)
+        add_crash(table, request, 9, START_US + 4 * SECOND_US + request);
+    assert_int_equal(crash_table_count(table), CRASH_MAX_ENTRIES);
+    assert_int_equal(verdict(table, 0, START_US + 5 * SECOND_US), CRASH_VERDICT_BLOCKED);
+    assert_int_equal(verdict(table, 2 * CRASH_MAX_ENTRIES - 1, START_US + 5 * SECOND_US),
+                     CRASH_VERDICT_SUSPECT);
     crash_table_destroy(table);
 }
 
 /* Guards against ends that were not counted: gateways that had not heard yet when the next start of
  * a back end was born took its end for that of the last one. */
-static void a_run_that_began_after_the_end_of_a_start_was_at_another_one(void **state)
+static void run_begun_after_a_crash_belongs_to_the_next_incarnation(void **state)
 {
     struct crash_table *table = crash_table_create();
     uint64_t first = 11;
-    assert_int_equal(crash_table_start_of_run(table, first, BEGIN), first);
-    ended(table, 1, first, BEGIN);
-    assert_int_equal(crash_table_start_of_run(table, first, BEGIN - SECOND), first);
-    uint64_t second = crash_table_start_of_run(table, first, BEGIN + SECOND);
+    assert_int_equal(crash_table_incarnation_of_run(table, first, START_US), first);
+    add_crash(table, 1, first, START_US);
+    assert_int_equal(crash_table_incarnation_of_run(table, first, START_US - SECOND_US), first);
+    uint64_t second = crash_table_incarnation_of_run(table, first, START_US + SECOND_US);
     assert_int_not_equal(second, first);
-    ended(table, 1, second, BEGIN + 2 * SECOND);
-    assert_int_equal(crash_table_start_of_run(table, first, BEGIN + SECOND), second);
-    uint64_t third = crash_table_start_of_run(table, first, BEGIN + 3 * SECOND);
-    ended(table, 1, third, BEGIN + 4 * SECOND);
-    assert_int_equal(verdict(table, 1, BEGIN + 4 * SECOND), CRASH_BLOCKED);
+    add_crash(table, 1, second, START_US + 2 * SECOND_US);
+    assert_int_equal(crash_table_incarnation_of_run(table, first, START_US + SECOND_US), second);
+    uint64_t third = crash_table_incarnation_of_run(table, first, START_US + 3 * SECOND_US);
+    add_crash(table, 1, third, START_US + 4 * SECOND_US);
+    assert_int_equal(verdict(table, 1, START_US + 4 * SECOND_US), CRASH_VERDICT_BLOCKED);
     crash_table_destroy(table);
 }
 
-static void ran_until(struct crash_table *table, uint64_t start, uint64_t began_at, uint64_t at)
+static void add_crashed_run(struct crash_table *table, uint64_t incarnation, uint64_t began_at,
+                            uint64_t at)
 {
     struct request_identity identity = identity_of(1);
-    struct crash_start end = {start, at, (uint32_t)at, began_at, at};
+    struct crash_event end = {incarnation, at, (uint32_t)at, began_at, at};
     crash_table_add(table, &identity, &end);
 }
 
 /* Guards against ends that counted twice: a node that stood still takes messages that lay there for
  * seconds, and all their times seem later to it. */
-static void news_that_come_late_make_no_second_end(void **state)
+static void delayed_report_does_not_count_twice(void **state)
 {
     struct crash_table *table = crash_table_create();
-    ran_until(table, 11, BEGIN - SECOND, BEGIN);
-    ran_until(table, 11, BEGIN + SECOND, BEGIN + 2 * SECOND);
-    assert_int_equal(crash_table_at(table, 0)->start_count, 1);
-    assert_int_equal(crash_table_at(table, 0)->starts[0].ended_at, BEGIN);
+    add_crashed_run(table, 11, START_US - SECOND_US, START_US);
+    add_crashed_run(table, 11, START_US + SECOND_US, START_US + 2 * SECOND_US);
+    assert_int_equal(crash_table_at(table, 0)->crash_count, 1);
+    assert_int_equal(crash_table_at(table, 0)->crashes[0].ended_at, START_US);
     crash_table_destroy(table);
 }
 
 /* Guards against a request that was cleared by others' work: a stream that ends each back end after
  * a second of it went on elsewhere for the rest, and that ended well. */
-static void the_rest_of_a_stream_clears_only_ends_of_shorter_runs(void **state)
+static void resumed_run_clears_only_crashes_after_shorter_runs(void **state)
 {
     struct crash_table *table = crash_table_create();
     struct request_identity identity = identity_of(1);
-    ran_until(table, 11, BEGIN - SECOND, BEGIN);
-    ran_until(table, 12, BEGIN - SECOND / 2, BEGIN + SECOND / 2);
-    assert_false(crash_table_clear(table, &identity, BEGIN + SECOND, SECOND - 1));
-    assert_int_equal(verdict(table, 1, BEGIN + SECOND), CRASH_SUSPECT);
-    assert_true(crash_table_clear(table, &identity, BEGIN + SECOND, SECOND));
-    assert_int_equal(verdict(table, 1, BEGIN + SECOND), CRASH_NO_SUSPECT);
+    add_crashed_run(table, 11, START_US - SECOND_US, START_US);
+    add_crashed_run(table, 12, START_US - SECOND_US / 2, START_US + SECOND_US / 2);
+    assert_false(crash_table_record_success(table, &identity, START_US + SECOND_US, SECOND_US - 1));
+    assert_int_equal(verdict(table, 1, START_US + SECOND_US), CRASH_VERDICT_SUSPECT);
+    assert_true(crash_table_record_success(table, &identity, START_US + SECOND_US, SECOND_US));
+    assert_int_equal(verdict(table, 1, START_US + SECOND_US), CRASH_VERDICT_NONE);
     crash_table_destroy(table);
 }
 
 /* Guards against a request that crashes back ends and is never proven: a stream that was at two
  * ends with it is done, and its ends would stay ambiguous. */
-static void the_rest_of_a_stream_clears_one_attempt(void **state)
+static void resumed_run_clears_a_single_attempt(void **state)
 {
     struct crash_table *table = crash_table_create();
     struct request_identity identity = identity_of(1);
-    struct crash_start first = {11, BEGIN, 7, BEGIN - SECOND, BEGIN};
-    struct crash_start second = {12, BEGIN + SECOND, 7, BEGIN, BEGIN + SECOND};
+    struct crash_event first = {11, START_US, 7, START_US - SECOND_US, START_US};
+    struct crash_event second = {12, START_US + SECOND_US, 7, START_US, START_US + SECOND_US};
     crash_table_add(table, &identity, &first);
     crash_table_add(table, &identity, &second);
-    assert_true(crash_table_clear(table, &identity, BEGIN + 2 * SECOND, SECOND / 10));
-    assert_int_equal(verdict(table, 1, BEGIN + 2 * SECOND), CRASH_NO_SUSPECT);
+    assert_true(
+        crash_table_record_success(table, &identity, START_US + 2 * SECOND_US, SECOND_US / 10));
+    assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
     crash_table_destroy(table);
 }
 
 /* Guards against ends that counted twice: a run broke off, by its link, before its back end ended,
  * and another gateway's run began in between. */
-static void a_run_that_broke_off_before_the_end_of_its_start_makes_no_second_one(void **state)
+static void run_interrupted_before_the_crash_adds_no_second_crash(void **state)
 {
     struct crash_table *table = crash_table_create();
     struct request_identity identity = identity_of(1);
-    struct crash_start early = {11, BEGIN, 1, BEGIN - SECOND, BEGIN + 3 * SECOND};
-    struct crash_start late = {11, BEGIN + 2 * SECOND, 2, BEGIN + SECOND, BEGIN + 2 * SECOND};
+    struct crash_event early = {11, START_US, 1, START_US - SECOND_US, START_US + 3 * SECOND_US};
+    struct crash_event late = {11, START_US + 2 * SECOND_US, 2, START_US + SECOND_US,
+                               START_US + 2 * SECOND_US};
     crash_table_add(table, &identity, &early);
     crash_table_add(table, &identity, &late);
-    assert_int_equal(crash_table_at(table, 0)->start_count, 1);
+    assert_int_equal(crash_table_at(table, 0)->crash_count, 1);
     crash_table_destroy(table);
 }
 
 /* Guards against ends that came back: a good end was not told to those who had been told of the end
  * before it, and a gateway that began anew learned that one from them. */
-static void a_good_end_is_told_even_of_a_request_with_one_end(void **state)
+static void successful_run_is_gossiped_even_after_one_crash(void **state)
 {
     struct crash_table *table = crash_table_create();
-    ended(table, 1, 11, BEGIN);
-    crash_table_at(table, 0)->untold = false;
-    ran_well(table, 1, BEGIN + SECOND);
-    assert_true(crash_table_at(table, 0)->untold);
+    add_crash(table, 1, 11, START_US);
+    crash_table_at(table, 0)->is_dirty = false;
+    record_success(table, 1, START_US + SECOND_US);
+    assert_true(crash_table_at(table, 0)->is_dirty);
     crash_table_destroy(table);
 }
 
@@ -286,7 +294,7 @@
 /* A start ended with a request, or a request ran well. */
 struct fact {
     uint32_t request;
-    uint64_t start; /* 0: it ran well */
+    uint64_t incarnation; /* 0: it ran well */
     uint64_t at;
 };
 
@@ -294,22 +302,23 @@
 {
     uint64_t ends[STARTS + 1];
     for (uint32_t i = 0; i <= STARTS; i++)
-        ends[i] = BEGIN + random_below(random, 20) * SECOND;
+        ends[i] = START_US + random_below(random, 20) * SECOND_US;
     for (uint32_t i = 0; i < FACTS; i++) {
-        uint64_t start = random_below(random, STARTS + 1);
+        uint64_t incarnation = random_below(random, STARTS + 1);
         uint64_t delay = random_below(random, 5) * 1000; /* seen by another gateway */
-        facts[i] = (struct fact){(uint32_t)random_below(random, REQUESTS), start,
-                                 start ? ends[start] + delay
-                                       : BEGIN + random_below(random, 20) * SECOND + 500000};
+        facts[i] =
+            (struct fact){(uint32_t)random_below(random, REQUESTS), incarnation,
+                          incarnation ? ends[incarnation] + delay
+                                      : START_US + random_below(random, 20) * SECOND_US + 500000};
     }
 }
 
 static void take_fact(struct crash_table *table, const struct fact *fact)
 {
-    if (fact->start)
-        ended(table, fact->request, fact->start, fact->at);
+    if (fact->incarnation)
+        add_crash(table, fact->request, fact->incarnation, fact->at);
     else
-        ran_well(table, fact->request, fact->at);
+        record_success(table, fact->request, fact->at);
 }
 
 static void merge_all(struct crash_table *into, struct crash_table *from)
@@ -320,8 +329,8 @@
 
 /* Facts reach nodes in any order, some twice, and the nodes tell each other again and again. A good
  * end of a request that is not under suspicion is not kept: facts of that kind go to all. */
-static void scatter(struct random_stream *random, const struct fact facts[FACTS],
-                    struct crash_table *nodes[NODES])
+static void deliver_facts(struct random_stream *random, const struct fact facts[FACTS],
+                          struct crash_table *nodes[NODES])
 {
     uint32_t order[FACTS] = {0};
     for (uint32_t i = 0; i < FACTS; i++) {
@@ -343,7 +352,7 @@
                 merge_all(nodes[i], nodes[j]);
 }
 
-static void nodes_agree_whatever_the_order(void **state)
+static void nodes_agree_for_any_message_order(void **state)
 {
     for (uint64_t seed = 1; seed <= 2000; seed++) {
         struct random_stream random = {.seed = seed};
@@ -352,13 +361,13 @@
         draw_facts(&random, facts);
         for (uint32_t i = 0; i < NODES; i++)
             nodes[i] = crash_table_create();
-        scatter(&random, facts, nodes);
+        deliver_facts(&random, facts, nodes);
         for (uint32_t i = 1; i < NODES; i++) {
-            assert_int_equal(crash_table_digest(nodes[i], BEGIN + 30 * SECOND),
-                             crash_table_digest(nodes[0], BEGIN + 30 * SECOND));
+            assert_int_equal(crash_table_digest(nodes[i], START_US + 30 * SECOND_US),
+                             crash_table_digest(nodes[0], START_US + 30 * SECOND_US));
             for (uint32_t request = 0; request < REQUESTS; request++)
-                assert_int_equal(verdict(nodes[i], request, BEGIN + 30 * SECOND),
-                                 verdict(nodes[0], request, BEGIN + 30 * SECOND));
+                assert_int_equal(verdict(nodes[i], request, START_US + 30 * SECOND_US),
+                                 verdict(nodes[0], request, START_US + 30 * SECOND_US));
         }
         for (uint32_t i = 0; i < NODES; i++)
             crash_table_destroy(nodes[i]);
@@ -368,25 +377,32 @@
 /* --- a small world -------------------------------------------------------------------------------
  */
 
-enum { ENGINES = 12, PLACES = 13, PLAYERS = 2000, ATTEMPTS = 3, STEPS = 12, ENDED_A_STEP = 6 };
+enum {
+    ENGINES = 12,
+    ENGINE_SLOTS = 13,
+    WORLD_REQUESTS = 2000,
+    ATTEMPTS = 3,
+    STEPS = 12,
+    COMPLETIONS_PER_STEP = 6
+};
 
 /* Some requests that crash engines, the first numbers, among others that run once and, when broken
  * off, go on. */
 struct world {
     struct random_stream random;
     struct crash_table *table;
-    bool ranks; /* suspects are placed by rendezvous weight */
-    uint32_t on[ENGINES][PLACES + 2];
+    bool uses_rendezvous; /* suspects are placed by rendezvous weight */
+    uint32_t on[ENGINES][ENGINE_SLOTS + 2];
     uint32_t count[ENGINES];
     uint64_t born[ENGINES];
-    uint32_t broken[PLAYERS]; /* times that the request was broken off */
+    uint32_t interruptions[WORLD_REQUESTS]; /* times that the request was broken off */
     uint32_t ends;
-    uint32_t next_player;
+    uint32_t next_request;
     uint32_t crashing;
     uint32_t refused; /* others that were refused as they went on */
 };
 
-static uint32_t by_rank(struct world *world, uint32_t request, uint32_t avoid)
+static uint32_t rendezvous_engine(struct world *world, uint32_t request, uint32_t avoid)
 {
     uint32_t best = avoid == 0 ? 1 : 0;
     for (uint32_t engine = 0; engine < ENGINES; engine++)
@@ -396,34 +412,35 @@
     return best;
 }
 
-static void place(struct world *world, uint32_t request, uint32_t avoid, uint64_t now)
+static void place_request(struct world *world, uint32_t request, uint32_t avoid, uint64_t now)
 {
     uint32_t engine;
-    if (verdict(world->table, request, now) == CRASH_BLOCKED) {
+    if (verdict(world->table, request, now) == CRASH_VERDICT_BLOCKED) {
         world->refused += request >= world->crashing;
         return;
     }
-    if (world->ranks && verdict(world->table, request, now) == CRASH_SUSPECT)
-        engine = by_rank(world, request, avoid);
+    if (world->uses_rendezvous && verdict(world->table, request, now) == CRASH_VERDICT_SUSPECT)
+        engine = rendezvous_engine(world, request, avoid);
     else
         engine = (uint32_t)((avoid + 1 + random_below(&world->random, ENGINES - 1)) % ENGINES);
-    if (world->count[engine] < PLACES + 2)
+    if (world->count[engine] < ENGINE_SLOTS + 2)
         world->on[engine][world->count[engine]++] = request;
 }
 
-static void crash(struct world *world, uint32_t engine, uint64_t now)
+static void crash_engine(struct world *world, uint32_t engine, uint64_t now)
 {
-    uint32_t there[PLACES + 2], count = world->count[engine];
+    uint32_t there[ENGINE_SLOTS + 2], count = world->count[engine];
     memcpy(there, world->on[engine], sizeof there);
     world->count[engine] = 0;
     world->ends++;
-    uint64_t start = crash_start_key("engine", engine * 1000 + world->born[engine]);
+    uint64_t incarnation = crash_incarnation_key("engine", engine * 1000 + world->born[engine]);
     for (uint32_t i = 0; i < count; i++) /* those that crash engines come again, others go on */
-        ended_in(world->table, there[i], start, now, there[i] < world->crashing ? world->ends : 0);
+        add_crash_of_attempt(world->table, there[i], incarnation, now,
+                             there[i] < world->crashing ? world->ends : 0);
     world->born[engine]++;
     for (uint32_t i = 0; i < count; i++)
-        if (there[i] >= world->crashing && ++world->broken[there[i]] < ATTEMPTS)
-            place(world, there[i], engine, now);
+        if (there[i] >= world->crashing && ++world->interruptions[there[i]] < ATTEMPTS)
+            place_request(world, there[i], engine, now);
 }
 
 static bool has_crashing(const struct world *world, uint32_t engine)
@@ -435,68 +452,71 @@
 }
 
 /* Those that are there longest run to their end; others take their places. */
-static void run_on(struct world *world, uint32_t engine, uint64_t now)
+static void complete_and_refill(struct world *world, uint32_t engine, uint64_t now)
 {
-    uint32_t done = world->count[engine] < ENDED_A_STEP ? world->count[engine] : ENDED_A_STEP;
+    uint32_t done =
+        world->count[engine] < COMPLETIONS_PER_STEP ? world->count[engine] : COMPLETIONS_PER_STEP;
     for (uint32_t i = 0; i < done; i++)
-        ran_well(world->table, world->on[engine][i], now);
+        record_success(world->table, world->on[engine][i], now);
     world->count[engine] -= done;
     memmove(world->on[engine], world->on[engine] + done,
             world->count[engine] * sizeof world->on[engine][0]);
-    while (world->count[engine] < PLACES)
+    while (world->count[engine] < ENGINE_SLOTS)
         world->on[engine][world->count[engine]++] =
-            world->crashing + world->next_player++ % (PLAYERS - world->crashing);
+            world->crashing + world->next_request++ % (WORLD_REQUESTS - world->crashing);
 }
 
 /* \return other requests that were refused when they went on, or are blocked in the end */
-static uint32_t play(struct world *world)
+static uint32_t run_world(struct world *world)
 {
     uint32_t blocked = 0;
     for (uint32_t step = 0; step < STEPS; step++) {
-        uint64_t now = BEGIN + step * SECOND / 5;
+        uint64_t now = START_US + step * SECOND_US / 5;
         for (uint32_t engine = 0; engine < ENGINES; engine++)
-            run_on(world, engine, now);
+            complete_and_refill(world, engine, now);
         for (uint32_t crashing = 0; crashing < world->crashing; crashing++)
-            place(world, crashing, (uint32_t)random_below(&world->random, ENGINES), now);
+            place_request(world, crashing, (uint32_t)random_below(&world->random, ENGINES), now);
         for (uint32_t engine = 0; engine < ENGINES; engine++)
             if (has_crashing(world, engine))
-                crash(world, engine, now + engine);
+                crash_engine(world, engine, now + engine);
     }
-    for (uint32_t request = world->crashing; request < PLAYERS; request++)
-        blocked += verdict(world->table, request, BEGIN + STEPS * SECOND) == CRASH_BLOCKED;
+    for (uint32_t request = world->crashing; request < WORLD_REQUESTS; request++)
+        blocked +=
+            verdict(world->table, request, START_US + STEPS * SECOND_US) == CRASH_VERDICT_BLOCKED;
     return blocked + world->refused;
 }
 
-static void play_many(bool ranks, uint32_t crashing, uint32_t worlds, uint32_t *ends,
-                      uint32_t *blocked)
+static void run_worlds(bool uses_rendezvous, uint32_t crashing, uint32_t worlds, uint32_t *ends,
+                       uint32_t *blocked)
 {
     *ends = *blocked = 0;
     for (uint64_t seed = 1; seed <= worlds; seed++) {
-        struct world world = {.random = {.seed = seed}, .ranks = ranks, .crashing = crashing};
+        struct world world = {
+            .random = {.seed = seed}, .uses_rendezvous = uses_rendezvous, .crashing = crashing};
         world.table = crash_table_create();
-        *blocked += play(&world);
+        *blocked += run_world(&world);
         *ends += world.ends;
         crash_table_destroy(world.table);
     }
 }
 
 /* 12 engines of 13 places; who is broken off goes on at once, with three attempts. */
-static void another_request_is_not_blocked(void **state)
+static void one_crashing_request_blocks_no_others(void **state)
 {
     uint32_t ends, blocked;
-    play_many(true, 1, 1000, &ends, &blocked);
+    run_worlds(true, 1, 1000, &ends, &blocked);
     print_message("one, with ranks: %u ends in 1,000 worlds, %u others blocked\n", ends, blocked);
     assert_int_equal(blocked, 0);
     assert_in_range(ends, 3000, 3300);
-    play_many(false, 1, 1000, &ends, &blocked);
+    run_worlds(false, 1, 1000, &ends, &blocked);
     print_message("one, without: %u ends, %u others blocked\n", ends, blocked);
 }
 
 /* Three of them at once: others are met by chance at the ends of several. */
-static void nor_is_one_beside_three_that_crash_engines(void **state)
+static void three_crashing_requests_block_few_others(void **state)
 {
     uint32_t ends, blocked;
-    play_many(true, 3, 1000, &ends, &blocked);
+    run_worlds(true, 3, 1000, &ends, &blocked);
     print_message("three: %u ends in 1,000 worlds, %u others blocked\n", ends, blocked);
     assert_in_range(blocked, 0, 10);
     assert_in_range(ends, 6000, 12000);
@@ -505,26 +525,26 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(three_ended_starts_block_a_request),
-        cmocka_unit_test(a_start_counts_once_whoever_reports_it),
-        cmocka_unit_test(starts_of_one_id_are_told_apart),
-        cmocka_unit_test(many_that_end_at_one_moment_count_once),
-        cmocka_unit_test(who_was_there_with_another_one_is_not_blocked),
-        cmocka_unit_test(two_that_always_meet_are_blocked_in_the_end),
-        cmocka_unit_test(one_attempt_at_three_ends_is_not_enough),
-        cmocka_unit_test(a_good_end_clears),
-        cmocka_unit_test(a_blocked_request_is_tried_again_some_day),
-        cmocka_unit_test(one_end_is_forgotten_soon_and_more_are_not),
-        cmocka_unit_test(a_full_table_keeps_the_most_suspect),
-        cmocka_unit_test(a_run_that_began_after_the_end_of_a_start_was_at_another_one),
-        cmocka_unit_test(news_that_come_late_make_no_second_end),
-        cmocka_unit_test(the_rest_of_a_stream_clears_only_ends_of_shorter_runs),
-        cmocka_unit_test(the_rest_of_a_stream_clears_one_attempt),
-        cmocka_unit_test(a_run_that_broke_off_before_the_end_of_its_start_makes_no_second_one),
-        cmocka_unit_test(a_good_end_is_told_even_of_a_request_with_one_end),
-        cmocka_unit_test(nodes_agree_whatever_the_order),
-        cmocka_unit_test(another_request_is_not_blocked),
-        cmocka_unit_test(nor_is_one_beside_three_that_crash_engines),
+        cmocka_unit_test(three_crashes_block_a_request),
+        cmocka_unit_test(incarnation_counts_once_for_all_reporters),
+        cmocka_unit_test(incarnations_of_one_backend_have_different_keys),
+        cmocka_unit_test(simultaneous_crashes_count_once),
+        cmocka_unit_test(requests_with_the_same_crashes_are_not_blocked),
+        cmocka_unit_test(requests_always_together_are_blocked_eventually),
+        cmocka_unit_test(single_attempt_needs_more_than_three_crashes),
+        cmocka_unit_test(successful_run_clears_a_request),
+        cmocka_unit_test(blocked_request_is_retried_after_the_block_duration),
+        cmocka_unit_test(single_crash_expires_sooner_than_several),
+        cmocka_unit_test(full_table_keeps_the_most_suspect_requests),
+        cmocka_unit_test(run_begun_after_a_crash_belongs_to_the_next_incarnation),
+        cmocka_unit_test(delayed_report_does_not_count_twice),
+        cmocka_unit_test(resumed_run_clears_only_crashes_after_shorter_runs),
+        cmocka_unit_test(resumed_run_clears_a_single_attempt),
+        cmocka_unit_test(run_interrupted_before_the_crash_adds_no_second_crash),
+        cmocka_unit_test(successful_run_is_gossiped_even_after_one_crash),
+        cmocka_unit_test(nodes_agree_for_any_message_order),
+        cmocka_unit_test(one_crashing_request_blocks_no_others),
+        cmocka_unit_test(three_crashing_requests_block_few_others),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/crash_verdict_test.c
+++ b/tests/core/crash_verdict_test.c
@@ -5,12 +5,12 @@
 
 #include <string.h>
 
-#define SECOND ((uint64_t)1000000)
-#define BEGIN (1000 * SECOND)
-#define LATER (100 * SECOND) /* all ends have settled */
+#define SECOND_US ((uint64_t)1000000)
+#define START_US (1000 * SECOND_US)
+#define ALL_SETTLED_US (100 * SECOND_US) /* all ends have settled */
 
 /* Requests by their numbers. */
-enum { GUILTY, STREAM, OTHER, THIRD, REQUESTS };
+enum { CRASHER, STREAM, OTHER, THIRD, REQUESTS };
 
 struct facts {
     struct crash_entry entries[REQUESTS];
@@ -19,39 +19,39 @@
 };
 
 /* A start ended with these requests; those of `attempt` 0 come in a new attempt each time. */
-static void end_with(struct facts *facts, uint64_t at, uint32_t attempt, const uint32_t *requests,
-                     uint32_t count)
+static void add_crash_with(struct facts *facts, uint64_t at, uint32_t attempt,
+                           const uint32_t *requests, uint32_t count)
 {
     facts->ends++;
     for (uint32_t i = 0; i < count; i++) {
         struct crash_entry *entry = &facts->entries[requests[i]];
-        entry->starts[entry->start_count++] =
-            (struct crash_start){facts->ends, at, attempt ? attempt : facts->ends, 0, at};
+        entry->crashes[entry->crash_count++] =
+            (struct crash_event){facts->ends, at, attempt ? attempt : facts->ends, 0, at};
     }
 }
 
-#define END(facts, at, ...)                                                                        \
-    end_with(facts, BEGIN + (at), 0, (const uint32_t[]){__VA_ARGS__},                              \
-             sizeof((uint32_t[]){__VA_ARGS__}) / sizeof(uint32_t))
+#define CRASH_AT(facts, at, ...)                                                                   \
+    add_crash_with(facts, START_US + (at), 0, (const uint32_t[]){__VA_ARGS__},                     \
+                   sizeof((uint32_t[]){__VA_ARGS__}) / sizeof(uint32_t))
 
 static void judge(struct facts *facts, uint64_t after)
 {
-    crash_verdict_judge(facts->entries, REQUESTS, BEGIN + after, facts->findings);
+    crash_verdict_evaluate(facts->entries, REQUESTS, START_US + after, facts->findings);
 }
 
 /* Guards against streams that were refused for good: they had moved with a request that crashes
  * back ends from one to the next, up to five times. */
-static void who_shares_all_ends_with_a_proven_request_is_free(void **state)
+static void crashes_shared_with_a_proven_request_are_explained(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, GUILTY, STREAM, OTHER);
-    END(&facts, SECOND, GUILTY, STREAM, OTHER);
-    judge(&facts, LATER);
-    assert_true(facts.findings[GUILTY].isolated);
+    CRASH_AT(&facts, 0, CRASHER, STREAM, OTHER);
+    CRASH_AT(&facts, SECOND_US, CRASHER, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    assert_true(facts.findings[CRASHER].isolated);
     assert_true(facts.findings[STREAM].isolated);
-    END(&facts, 2 * SECOND, GUILTY);
-    judge(&facts, LATER);
-    assert_true(facts.findings[GUILTY].blocked);
+    CRASH_AT(&facts, 2 * SECOND_US, CRASHER);
+    judge(&facts, ALL_SETTLED_US);
+    assert_true(facts.findings[CRASHER].blocked);
     assert_int_equal(facts.findings[STREAM].unexplained, 0);
     assert_false(facts.findings[STREAM].isolated);
     assert_false(facts.findings[STREAM].blocked);
@@ -59,150 +59,152 @@
 
 /* Guards against a verdict that was taken back, and a request that ran again: another request met
  * an end long after. */
-static void later_ends_of_others_take_no_proof_back(void **state)
+static void later_crashes_of_others_do_not_revoke_a_proof(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, GUILTY, STREAM);
-    END(&facts, SECOND, GUILTY);
-    END(&facts, 2 * SECOND, GUILTY, OTHER);
-    judge(&facts, 4 * SECOND);
-    assert_true(facts.findings[GUILTY].blocked);
-    END(&facts, 5 * SECOND, OTHER);
-    END(&facts, 7 * SECOND, OTHER, STREAM);
-    judge(&facts, LATER);
-    assert_true(facts.findings[GUILTY].blocked);
+    CRASH_AT(&facts, 0, CRASHER, STREAM);
+    CRASH_AT(&facts, SECOND_US, CRASHER);
+    CRASH_AT(&facts, 2 * SECOND_US, CRASHER, OTHER);
+    judge(&facts, 4 * SECOND_US);
+    assert_true(facts.findings[CRASHER].blocked);
+    CRASH_AT(&facts, 5 * SECOND_US, OTHER);
+    CRASH_AT(&facts, 7 * SECOND_US, OTHER, STREAM);
+    judge(&facts, ALL_SETTLED_US);
+    assert_true(facts.findings[CRASHER].blocked);
     assert_false(facts.findings[OTHER].blocked);
 }
 
 /* A verdict that rests on news that may not be whole yet explains nothing, and may change. */
-static void a_verdict_settles(void **state)
+static void verdict_explains_others_only_after_settling(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, GUILTY, STREAM);
-    END(&facts, SECOND, GUILTY, STREAM);
-    END(&facts, 2 * SECOND, GUILTY);
-    judge(&facts, 2 * SECOND + CRASH_NEWS_US - 1);
-    assert_true(facts.findings[GUILTY].blocked);
-    assert_false(facts.findings[GUILTY].settled);
+    CRASH_AT(&facts, 0, CRASHER, STREAM);
+    CRASH_AT(&facts, SECOND_US, CRASHER, STREAM);
+    CRASH_AT(&facts, 2 * SECOND_US, CRASHER);
+    judge(&facts, 2 * SECOND_US + CRASH_PROPAGATION_US - 1);
+    assert_true(facts.findings[CRASHER].blocked);
+    assert_false(facts.findings[CRASHER].settled);
     assert_int_equal(facts.findings[STREAM].unexplained, 2);
-    judge(&facts, 2 * SECOND + CRASH_NEWS_US);
-    assert_true(facts.findings[GUILTY].settled);
+    judge(&facts, 2 * SECOND_US + CRASH_PROPAGATION_US);
+    assert_true(facts.findings[CRASHER].settled);
     assert_int_equal(facts.findings[STREAM].unexplained, 0);
 }
 
 /* Guards against streams that were refused for good where back ends end for other reasons, too:
  * such ends, and first ends of other requests, come while a stream runs apart. */
-static void where_others_end_one_proof_is_not_enough(void **state)
+static void one_proof_does_not_block_amid_unexplained_crashes(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, STREAM);
-    END(&facts, SECOND, STREAM, OTHER);
-    END(&facts, 2 * SECOND, THIRD);
-    END(&facts, 3 * SECOND, STREAM, OTHER);
-    END(&facts, 4 * SECOND, STREAM);
-    judge(&facts, LATER);
+    CRASH_AT(&facts, 0, STREAM);
+    CRASH_AT(&facts, SECOND_US, STREAM, OTHER);
+    CRASH_AT(&facts, 2 * SECOND_US, THIRD);
+    CRASH_AT(&facts, 3 * SECOND_US, STREAM, OTHER);
+    CRASH_AT(&facts, 4 * SECOND_US, STREAM);
+    judge(&facts, ALL_SETTLED_US);
     assert_int_equal(facts.findings[STREAM].proofs, 1);
     assert_false(facts.findings[STREAM].blocked);
-    END(&facts, 5 * SECOND, STREAM);
-    END(&facts, 6 * SECOND, STREAM);
-    judge(&facts, LATER);
+    CRASH_AT(&facts, 5 * SECOND_US, STREAM);
+    CRASH_AT(&facts, 6 * SECOND_US, STREAM);
+    judge(&facts, ALL_SETTLED_US);
     assert_true(facts.findings[STREAM].blocked);
 }
 
-static void ends_of_one_attempt_need_one_proof_more(void **state)
+static void single_attempt_needs_one_more_proof(void **state)
 {
     struct facts facts = {0};
     const uint32_t alone[] = {STREAM}, both[] = {STREAM, OTHER};
-    end_with(&facts, BEGIN, 7, both, 2);
-    end_with(&facts, BEGIN + SECOND, 7, both, 2);
-    end_with(&facts, BEGIN + 2 * SECOND, 7, both, 2);
-    end_with(&facts, BEGIN + 3 * SECOND, 7, alone, 1);
-    judge(&facts, LATER);
+    add_crash_with(&facts, START_US, 7, both, 2);
+    add_crash_with(&facts, START_US + SECOND_US, 7, both, 2);
+    add_crash_with(&facts, START_US + 2 * SECOND_US, 7, both, 2);
+    add_crash_with(&facts, START_US + 3 * SECOND_US, 7, alone, 1);
+    judge(&facts, ALL_SETTLED_US);
     assert_false(facts.findings[STREAM].blocked);
-    end_with(&facts, BEGIN + 4 * SECOND, 7, alone, 1);
-    judge(&facts, LATER);
+    add_crash_with(&facts, START_US + 4 * SECOND_US, 7, alone, 1);
+    judge(&facts, ALL_SETTLED_US);
     assert_true(facts.findings[STREAM].blocked);
 }
 
 static uint64_t held_until(const struct facts *facts, uint64_t newest, uint64_t at)
 {
-    uint64_t until = crash_verdict_held_until(&facts->findings[STREAM], BEGIN + newest, BEGIN + at);
-    return until ? until - BEGIN : 0;
+    uint64_t until =
+        crash_verdict_held_until(&facts->findings[STREAM], START_US + newest, START_US + at);
+    return until ? until - START_US : 0;
 }
 
 /* Guards against requests that reach back ends after many ends that nobody can be held to. */
-static void who_is_not_proven_is_held_back_for_ever_longer_times(void **state)
+static void unproven_request_is_held_back_with_backoff(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, STREAM, OTHER);
-    END(&facts, SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
-    assert_int_equal(held_until(&facts, SECOND, SECOND), 0);
-    END(&facts, 2 * SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
-    uint64_t newest = 2 * SECOND;
+    CRASH_AT(&facts, 0, STREAM, OTHER);
+    CRASH_AT(&facts, SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    assert_int_equal(held_until(&facts, SECOND_US, SECOND_US), 0);
+    CRASH_AT(&facts, 2 * SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    uint64_t newest = 2 * SECOND_US;
     assert_int_equal(held_until(&facts, newest, newest), 0); /* a try apart from others */
-    assert_int_equal(held_until(&facts, newest, newest + CRASH_HOLD_AFTER_US),
-                     newest + CRASH_HOLD_US);
-    assert_int_equal(held_until(&facts, newest, newest + CRASH_HOLD_US), 0);
-    END(&facts, 20 * SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
-    newest = 20 * SECOND;
-    assert_int_equal(held_until(&facts, newest, newest), newest + 2 * CRASH_HOLD_US);
+    assert_int_equal(held_until(&facts, newest, newest + CRASH_HOLD_GRACE_US),
+                     newest + CRASH_HOLD_INITIAL_US);
+    assert_int_equal(held_until(&facts, newest, newest + CRASH_HOLD_INITIAL_US), 0);
+    CRASH_AT(&facts, 20 * SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    newest = 20 * SECOND_US;
+    assert_int_equal(held_until(&facts, newest, newest), newest + 2 * CRASH_HOLD_INITIAL_US);
 }
 
 /* Guards against a request that reached back ends after its third end: it had met another one,
  * which explains the first of them. */
-static void explained_ends_count_for_holding_back_who_is_isolated(void **state)
+static void explained_crashes_count_for_holding_back(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, GUILTY, STREAM);
-    END(&facts, SECOND, GUILTY);
-    END(&facts, 2 * SECOND, GUILTY);
-    END(&facts, 3 * SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
-    assert_true(facts.findings[GUILTY].settled);
-    assert_int_equal(held_until(&facts, 3 * SECOND, 6 * SECOND), 0);
-    END(&facts, 4 * SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
+    CRASH_AT(&facts, 0, CRASHER, STREAM);
+    CRASH_AT(&facts, SECOND_US, CRASHER);
+    CRASH_AT(&facts, 2 * SECOND_US, CRASHER);
+    CRASH_AT(&facts, 3 * SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    assert_true(facts.findings[CRASHER].settled);
+    assert_int_equal(held_until(&facts, 3 * SECOND_US, 6 * SECOND_US), 0);
+    CRASH_AT(&facts, 4 * SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
     assert_int_equal(facts.findings[STREAM].unexplained, 2);
-    assert_int_equal(held_until(&facts, 4 * SECOND, 6 * SECOND), 4 * SECOND + CRASH_HOLD_US);
+    assert_int_equal(held_until(&facts, 4 * SECOND_US, 6 * SECOND_US),
+                     4 * SECOND_US + CRASH_HOLD_INITIAL_US);
 }
 
-static void a_loss_of_power_holds_nobody_back(void **state)
+static void power_loss_holds_no_request_back(void **state)
 {
     struct facts facts = {0};
     for (uint64_t i = 0; i < 6; i++)
-        END(&facts, i * 1000, STREAM);
-    judge(&facts, LATER);
-    assert_int_equal(facts.findings[STREAM].starts, CRASH_STARTS_OF_MOMENT);
-    assert_int_equal(held_until(&facts, 5000, 4 * SECOND), 0);
+        CRASH_AT(&facts, i * 1000, STREAM);
+    judge(&facts, ALL_SETTLED_US);
+    assert_int_equal(facts.findings[STREAM].crashes, CRASH_MAX_SIMULTANEOUS_COUNTED);
+    assert_int_equal(held_until(&facts, 5000, 4 * SECOND_US), 0);
 }
 
 /* Guards against an end that did not count: two repeats came to two gateways in one moment. */
-static void two_ends_of_one_moment_and_one_more_hold_back(void **state)
+static void two_simultaneous_crashes_and_one_more_hold_back(void **state)
 {
     struct facts facts = {0};
-    END(&facts, 0, STREAM, OTHER);
-    END(&facts, 4000, STREAM, OTHER);
-    END(&facts, SECOND, STREAM, OTHER);
-    judge(&facts, LATER);
-    assert_int_equal(held_until(&facts, SECOND, SECOND + CRASH_HOLD_AFTER_US),
-                     SECOND + CRASH_HOLD_US);
+    CRASH_AT(&facts, 0, STREAM, OTHER);
+    CRASH_AT(&facts, 4000, STREAM, OTHER);
+    CRASH_AT(&facts, SECOND_US, STREAM, OTHER);
+    judge(&facts, ALL_SETTLED_US);
+    assert_int_equal(held_until(&facts, SECOND_US, SECOND_US + CRASH_HOLD_GRACE_US),
+                     SECOND_US + CRASH_HOLD_INITIAL_US);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(who_shares_all_ends_with_a_proven_request_is_free),
-        cmocka_unit_test(later_ends_of_others_take_no_proof_back),
-        cmocka_unit_test(a_verdict_settles),
-        cmocka_unit_test(where_others_end_one_proof_is_not_enough),
-        cmocka_unit_test(ends_of_one_attempt_need_one_proof_more),
-        cmocka_unit_test(who_is_not_proven_is_held_back_for_ever_longer_times),
-        cmocka_unit_test(explained_ends_count_for_holding_back_who_is_isolated),
-        cmocka_unit_test(a_loss_of_power_holds_nobody_back),
-        cmocka_unit_test(two_ends_of_one_moment_and_one_more_hold_back),
+        cmocka_unit_test(crashes_shared_with_a_proven_request_are_explained),
+        cmocka_unit_test(later_crashes_of_others_do_not_revoke_a_proof),
+        cmocka_unit_test(verdict_explains_others_only_after_settling),
+        cmocka_unit_test(one_proof_does_not_block_amid_unexplained_crashes),
+        cmocka_unit_test(single_attempt_needs_one_more_proof),
+        cmocka_unit_test(unproven_request_is_held_back_with_backoff),
+        cmocka_unit_test(explained_crashes_count_for_holding_back),
+        cmocka_unit_test(power_loss_holds_no_request_back),
+        cmocka_unit_test(two_simultaneous_crashes_and_one_more_hold_back),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
