--- a/src/core/crash_lease.h
+++ b/src/core/crash_lease.h
@@ -1,12 +1,14 @@
 /**
- * Who of the requests that may crash back ends runs at which of them.
+ * Leases that keep isolated requests, which may crash backends, on separate backend incarnations.
  *
- * Such a request asks for a start of a back end by a lease that all gateways hear of, and is sent
- * there CRASH_LEASE_PROPAGATION_US later if nobody goes before it. Of two that ask within that time
- * the one under more suspicion goes first, so that it is proven or cleared soon; an earlier lease
- * holds otherwise. A lease ends by its time, with the start, or when the request is cleared or
- * blocked. Two gateways that do not hear each other may both send: the end that follows is no proof
- * then.
+ * An isolated request acquires a lease on a backend incarnation, which is sent to all gateways. The
+ * request is sent to the backend CRASH_LEASE_PROPAGATION_US later, unless another lease takes
+ * precedence. Of two leases acquired within that time, the one of the more suspect request takes
+ * precedence, so that it is soon proven or cleared; otherwise the earlier lease does. A lease ends
+ * when it expires, when the incarnation ends, or when the request is cleared or blocked.
+ *
+ * Two gateways that cannot reach each other may both send their requests: a crash that follows is
+ * then no proof.
  */
 #ifndef SHUNTRUN_CRASH_LEASE_H
 #define SHUNTRUN_CRASH_LEASE_H
@@ -14,28 +16,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** News of a lease reach all gateways within this time. */
+/** A lease is known to all gateways within this time. */
 #define CRASH_LEASE_PROPAGATION_US ((uint64_t)30000)
-/** A request that crashes its back end does so within this time of its begin, mostly: then others
- * have their turn. */
+/** A request that crashes its backend mostly does so within this time of its begin; after that
+ *  other isolated requests may use the backend. */
 #define CRASH_LEASE_DURATION_US ((uint64_t)2000000)
-/** Leases that bar back ends to one request; more are left out. */
+/** Incarnations leased to other requests that are considered for one request; more are ignored. */
 #define CRASH_MAX_LEASED_INCARNATIONS 64
 
 struct crash_lease {
-    uint64_t incarnation; /**< of a back end, see crash_incarnation_key(); 0: there is no lease */
-    uint64_t since;
+    uint64_t incarnation; /**< see crash_incarnation_key(); 0: there is no lease */
+    uint64_t since;       /**< when the lease was acquired, microseconds */
 };
 
-/** \return whether it holds a start at this time */
+/** \return whether there is a lease and it has not expired */
 bool crash_lease_is_valid(const struct crash_lease *lease, uint64_t now);
-/** \return whether nobody who asked at the same time can come up any more */
+/** \return whether all leases that may take precedence over this one are known by now */
 bool crash_lease_is_settled(const struct crash_lease *lease, uint64_t now);
-/** \return whether a lease takes the place of the one that is known of the same request */
+/** \return whether a lease replaces the known one of the same request */
 bool crash_lease_replaces(const struct crash_lease *lease, const struct crash_lease *known);
 /**
- * \return whether the one lease goes before the other
- * \param more_suspect of its request, if both asked at the same time
+ * \param more_suspect whether the request of `lease` is under more suspicion than the other; it
+ * decides between leases acquired at about the same time
+ * \return whether `lease` takes precedence over `other`
  */
 bool crash_lease_takes_precedence(const struct crash_lease *lease, const struct crash_lease *other,
                                   bool more_suspect);
--- a/src/core/crash_spread.c
+++ b/src/core/crash_spread.c
@@ -21,14 +21,14 @@
     return member->role == role && member_is_alive(member);
 }
 
-/* The first ones of a role by rendezvous weight, without this node. */
+/* Adds the members of a role with the highest rendezvous weights, without this node. */
 static void add_replica_holders(struct membership *membership, const struct crash_entry *entry,
-                                enum member_role role, uint32_t homes,
+                                enum member_role role, uint32_t replicas,
                                 struct crash_receivers *receivers)
 {
     uint64_t key = hash_bytes(entry->identity.bytes, sizeof entry->identity.bytes);
     uint64_t limit = UINT64_MAX;
-    for (uint32_t home = 0; home < homes; home++) {
+    for (uint32_t replica = 0; replica < replicas; replica++) {
         uint64_t best_weight = 0;
         uint32_t best = 0;
         for (uint32_t i = 0; i < membership_count(membership); i++) {
@@ -46,7 +46,7 @@
     }
 }
 
-/* A few of the gateways, each equally likely. */
+/* Adds a random sample of the gateways, each equally likely (selection sampling). */
 static void add_random_gateways(struct membership *membership, struct random_stream *random,
                                 struct crash_receivers *receivers)
 {
--- a/src/core/crash_spread.h
+++ b/src/core/crash_spread.h
@@ -1,11 +1,12 @@
 /**
- * Whom a node tells of requests that were there when back ends ended.
+ * Selects the nodes to which a node sends its crash entries.
  *
- * One ended start makes a request no more than a suspect among a dozen: it goes to a few gateways
- * that every node reckons alike from the request, where the next one meets it. What was there at
- * more starts concerns everybody: it goes to a few gateways taken by chance, each of which passes
- * it on once, and to two loaders, which outlive the gateways. Told to all at once, the end of many
- * engines would fill the links between regions.
+ * One crash makes a request no more than one suspect among a dozen. Its entry goes to a few replica
+ * gateways, which every node derives from the request identity, so that entries of the same request
+ * meet there. An entry with more crashes concerns all gateways: it is gossiped to a few random
+ * gateways, each of which forwards it once, and goes to two loaders, which outlive the gateways.
+ * Sending each entry to all nodes at once would saturate the links between regions when many
+ * engines crash.
  */
 #ifndef SHUNTRUN_CRASH_SPREAD_H
 #define SHUNTRUN_CRASH_SPREAD_H
@@ -13,13 +14,13 @@
 #include "core/crash_table.h"
 #include "core/membership.h"
 
-/** Gateways at which evidence on one request meets. In a fleet of 7 these are all, so that same
- *  requests meet at one back end, and others part, from the first end on. */
+/** Replica gateways of an entry. In a fleet of 7 gateways these are all the others, so from the
+ *  first crash on attempts of the same request share a backend and different suspects do not. */
 #define CRASH_GATEWAY_REPLICAS 6
-/** Loaders that keep what all gateways keep: both have to be lost with all gateways. */
+/** Loaders that hold shared entries: these are lost only with both loaders and all gateways. */
 #define CRASH_LOADER_REPLICAS 2
-/** Gateways that each node tells of a request that was there at more than one end. A rumour that
- *  each node passes on reaches nearly all; a digest finds the others. */
+/** Random gateways to which each node gossips a shared entry. Gossip that each node forwards
+ *  reaches nearly all nodes; comparing digests finds the others. */
 #define CRASH_GOSSIP_FANOUT 6
 
 struct crash_receivers {
@@ -27,7 +28,7 @@
     uint32_t count;
 };
 
-/** \brief The nodes to tell of an entry, this one not among them. */
+/** \brief Select the nodes to which an entry is sent, without this node. */
 void crash_spread_receivers(struct membership *membership, const struct crash_entry *entry,
                             struct random_stream *random, struct crash_receivers *receivers);
 
--- a/src/core/crash_table.c
+++ b/src/core/crash_table.c
@@ -9,10 +9,11 @@
 struct crash_table {
     struct crash_entry *entries;
     uint32_t count;
-    uint64_t *prefixes; /* the first bytes of each entry's identity: a look reads these alone */
-    struct crash_finding *findings; /* of each entry, as of the last judgement */
-    uint64_t *
-        findings_valid_until; /* time from which the next one may differ; 0: entries have changed */
+    uint64_t *prefixes; /* first bytes of each entry's identity: a lookup scans only these */
+    struct crash_finding *findings; /* of each entry, as of the last evaluation */
+    /* Time from which an evaluation may give other findings; 0: entries have changed. Allocated,
+     * as queries on a const table update it. */
+    uint64_t *findings_valid_until;
 };
 
 struct crash_table *crash_table_create(void)
@@ -63,18 +64,18 @@
 uint32_t crash_entry_distinct_crashes_except(const struct crash_entry *entry,
                                              const bool without[CRASH_MAX_EVENTS])
 {
-    uint32_t weight = 0;
+    uint32_t count = 0;
     uint64_t counted_at = 0;
     for (uint32_t i = 0; i < entry->crash_count; i++) {
         uint64_t ended_at = entry->crashes[i].ended_at;
         if (without[i])
             continue;
-        if (weight && ended_at < counted_at + CRASH_SIMULTANEOUS_US)
+        if (count && ended_at < counted_at + CRASH_SIMULTANEOUS_US)
             continue;
         counted_at = ended_at;
-        weight++;
+        count++;
     }
-    return weight;
+    return count;
 }
 
 uint32_t crash_entry_distinct_crashes(const struct crash_entry *entry)
@@ -88,35 +89,35 @@
     return latest_crash_at(entry) + CRASH_PROPAGATION_US;
 }
 
-static void remove_crash(struct crash_entry *entry, uint32_t place)
+static void remove_crash(struct crash_entry *entry, uint32_t index)
 {
     entry->crash_count--;
-    memmove(&entry->crashes[place], &entry->crashes[place + 1],
-            (entry->crash_count - place) * sizeof entry->crashes[0]);
+    memmove(&entry->crashes[index], &entry->crashes[index + 1],
+            (entry->crash_count - index) * sizeof entry->crashes[0]);
 }
 
 static void insert_crash(struct crash_entry *entry, const struct crash_event *crash)
 {
     if (entry->crash_count == CRASH_MAX_EVENTS)
         remove_crash(entry, 0);
-    uint32_t place = entry->crash_count++;
-    while (place && entry->crashes[place - 1].ended_at > crash->ended_at) {
-        entry->crashes[place] = entry->crashes[place - 1];
-        place--;
+    uint32_t index = entry->crash_count++;
+    while (index && entry->crashes[index - 1].ended_at > crash->ended_at) {
+        entry->crashes[index] = entry->crashes[index - 1];
+        index--;
     }
-    entry->crashes[place] = *crash;
+    entry->crashes[index] = *crash;
 }
 
-/* \return place, or the number of starts */
+/* \return index of the crash, or the number of crashes */
 static uint32_t find_crash(const struct crash_entry *entry, uint64_t incarnation)
 {
-    uint32_t place = 0;
-    while (place < entry->crash_count && entry->crashes[place].incarnation != incarnation)
-        place++;
-    return place;
+    uint32_t index = 0;
+    while (index < entry->crash_count && entry->crashes[index].incarnation != incarnation)
+        index++;
+    return index;
 }
 
-/* What stands for the start after one, of which nobody has said yet when it was born. */
+/* Key of the incarnation after the given one, for as long as its start time is not reported. */
 static uint64_t next_incarnation(uint64_t incarnation)
 {
     return hash_pair(incarnation, 1);
@@ -129,7 +130,7 @@
     return left < right ? left : right;
 }
 
-/* What two nodes saw of one end. */
+/* Merges what two nodes observed of one crash. */
 static void merge_crash(struct crash_event *known, const struct crash_event *other)
 {
     if (other->ended_at < known->ended_at)
@@ -148,33 +149,34 @@
     return true;
 }
 
-/* \return whether the start was not held. An earlier time of a known one is no news. */
+/* \return whether the crash was unknown; an earlier time of a known crash is not worth sending */
 static bool add_crash(struct crash_entry *entry, const struct crash_event *crash)
 {
     if (crash->ended_at <= entry->cleared_at)
         return false;
-    uint32_t place = find_crash(entry, crash->incarnation);
-    if (place == entry->crash_count)
+    uint32_t index = find_crash(entry, crash->incarnation);
+    if (index == entry->crash_count)
         return add_new_crash(entry, crash);
-    struct crash_event known = entry->crashes[place];
-    remove_crash(entry, place);
+    struct crash_event known = entry->crashes[index];
+    remove_crash(entry, index);
     merge_crash(&known, crash);
     insert_crash(entry, &known);
     return false;
 }
 
-/* A later time alone is no news: a time that travels as an age seems later after each hop.
- * \return whether it takes anything back, or is the first */
+/* A later time alone does not count as a change: times are sent as ages, so they move later with
+ * each hop, and nodes would resend them forever.
+ * \return whether this removes crashes or is the first successful run */
 static bool clear_until(struct crash_entry *entry, uint64_t at)
 {
-    bool is_news = at && !entry->cleared_at;
+    bool changed = at && !entry->cleared_at;
     if (at > entry->cleared_at)
         entry->cleared_at = at;
     while (entry->crash_count && entry->crashes[0].ended_at <= at) {
         remove_crash(entry, 0);
-        is_news = true;
+        changed = true;
     }
-    return is_news;
+    return changed;
 }
 
 /* --- the table -----------------------------------------------------------------------------------
@@ -227,15 +229,15 @@
     return entry;
 }
 
-/* \return the first time at which a start was known to have ended, 0: it is not */
+/* \return when any node first knew of the crash of an incarnation; 0: no crash is known */
 static uint64_t detected_since(const struct crash_table *table, uint64_t incarnation)
 {
     uint64_t detected_at = 0;
     for (uint32_t i = 0; i < table->count; i++) {
         const struct crash_entry *entry = &table->entries[i];
-        uint32_t place = find_crash(entry, incarnation);
-        if (place < entry->crash_count)
-            detected_at = earlier_known(detected_at, entry->crashes[place].detected_at);
+        uint32_t index = find_crash(entry, incarnation);
+        if (index < entry->crash_count)
+            detected_at = earlier_known(detected_at, entry->crashes[index].detected_at);
     }
     return detected_at;
 }
@@ -269,9 +271,9 @@
     return true;
 }
 
-/* A stream that went on elsewhere did only the rest of its work there: that it ran well says
- * nothing of ends that came after a longer run. One attempt that is done does not come again, and
- * must not make others' ends ambiguous. */
+/* The last run of a resumed stream does only the rest of its work, so its success says nothing
+ * about crashes that followed a longer run. A single attempt is cleared all the same: once complete
+ * it does not run again, and must not make crashes of other requests ambiguous. */
 static bool outlasted_crashed_runs(const struct crash_entry *entry, uint64_t ran_us)
 {
     for (uint32_t i = 0; i < entry->crash_count; i++) {
@@ -292,7 +294,7 @@
         return false;
     clear_until(entry, at);
     *table->findings_valid_until = 0;
-    entry->is_dirty = true; /* to whom the ends were told */
+    entry->is_dirty = true; /* nodes that know of the crashes must learn of the success */
     return true;
 }
 
@@ -307,7 +309,7 @@
         entry->lease = other->lease;
         changed = true;
     }
-    entry->shared |= !other->crash_count; /* only of these one tells that they are cleared */
+    entry->shared |= !other->crash_count; /* others send a cleared entry only if it is shared */
     entry->is_dirty |= changed && entry->shared;
     return changed;
 }
@@ -315,7 +317,7 @@
 /* --- verdicts ------------------------------------------------------------------------------------
  */
 
-/* \return what follows for an entry, or NULL when there is none of the request */
+/* \return the finding for a request, or NULL when it has no entry */
 static const struct crash_finding *
 find_finding(const struct crash_table *table, const struct request_identity *identity, uint64_t now)
 {
@@ -334,8 +336,8 @@
     const struct crash_finding *finding = find_finding(table, identity, now);
     if (!finding)
         return CRASH_VERDICT_NONE;
-    bool lately = now < latest_crash_at(lookup(table, identity)) + CRASH_BLOCK_DURATION_US;
-    return finding->blocked && lately ? CRASH_VERDICT_BLOCKED : CRASH_VERDICT_SUSPECT;
+    bool is_recent = now < latest_crash_at(lookup(table, identity)) + CRASH_BLOCK_DURATION_US;
+    return finding->blocked && is_recent ? CRASH_VERDICT_BLOCKED : CRASH_VERDICT_SUSPECT;
 }
 
 bool crash_table_requires_isolation(const struct crash_table *table,
@@ -363,7 +365,7 @@
 /* --- leases --------------------------------------------------------------------------------------
  */
 
-/* Nodes that hold the same entries order two requests alike. */
+/* A total order, the same on all nodes that hold the same entries. */
 static bool is_more_suspect(const struct crash_table *table, const struct crash_entry *entry,
                             const struct crash_entry *than)
 {
@@ -417,11 +419,11 @@
     return now >= newest + (entry->shared ? CRASH_SHARED_TTL_US : CRASH_SINGLE_TTL_US);
 }
 
-static void remove_entry(struct crash_table *table, uint32_t place)
+static void remove_entry(struct crash_table *table, uint32_t index)
 {
     uint32_t last = --table->count;
-    table->entries[place] = table->entries[last];
-    table->prefixes[place] = table->prefixes[last];
+    table->entries[index] = table->entries[last];
+    table->prefixes[index] = table->prefixes[last];
 }
 
 void crash_table_trim(struct crash_table *table, uint64_t now)
--- a/src/core/crash_table.h
+++ b/src/core/crash_table.h
@@ -1,16 +1,17 @@
 /**
- * Which requests were there when back ends ended: what tells a request that crashes back ends from
- * one that only happened to run beside it.
+ * Records which requests were running when backends crashed, to tell a request that crashes
+ * backends from one that merely ran beside it.
  *
- * Evidence is a start of a back end that ended, with the requests that it had. Each start counts
- * once, however many gateways report it, and all that a table holds merges in any order: of a start
- * the earliest time of its end is kept, of a request's good end the latest.
+ * A crash is the unplanned end of one backend incarnation, that is, of one lifetime of its process.
+ * Each crash counts once per request, however many gateways report it. Entries of different nodes
+ * can be merged in any order: for a crash the earliest end time is kept, for a request the time of
+ * its latest successful run.
  *
- * Being there is not being the cause: core/crash_verdict tells from all entries what follows for
- * each of them. A request that ran to its end is cleared of all that was before. A request that is
- * to run apart from others holds a lease on a start of a back end: see core/crash_lease.
+ * Being present at a crash is not proof: core/crash_verdict derives the verdict on each request
+ * from all entries. A request that runs to completion is cleared of all earlier crashes. A request
+ * that must run in isolation holds a lease on one backend incarnation, see core/crash_lease.
  *
- * No clock, socket or thread. Times are microseconds of a clock that does not step back.
+ * Uses no clock, socket or thread. Times are microseconds of a clock that never steps back.
  */
 #ifndef SHUNTRUN_CRASH_TABLE_H
 #define SHUNTRUN_CRASH_TABLE_H
@@ -22,48 +23,50 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Starts that end within this time count as one: what ends many at the same moment is a loss of
- *  power or the like, and no request. Gateways see one end up to some 10 ms apart. */
+/** Crashes within this time count as one: many backends that end at the same moment lost power or
+ *  the like, and no request is the cause. Gateways see the end of one backend up to some 10 ms
+ *  apart. */
 #define CRASH_SIMULTANEOUS_US ((uint64_t)30000)
-/** A blocked request may be tried again after this: the back ends may have become able to run it.
- *  One more end blocks it again, so one that cannot be run costs about one back end an hour. */
+/** A blocked request may be tried again after this time, as the backends may have become able to
+ *  run it. One more crash blocks it again, so a request that cannot be run costs about one backend
+ *  an hour. */
 #define CRASH_BLOCK_DURATION_US ((uint64_t)3600000000)
-/** Time after which one ended start says nothing any more: repeats by callers come within it. */
+/** An entry with a single crash expires after this time: callers retry within it. */
 #define CRASH_SINGLE_TTL_US ((uint64_t)60000000)
-/** The same for more than one. */
+/** Lifetime of an entry that all gateways hold. */
 #define CRASH_SHARED_TTL_US ((uint64_t)86400000000)
-/** Requests that a table holds; those with the least evidence go first. */
+/** Requests per table; those with the least evidence are evicted first. */
 #define CRASH_MAX_ENTRIES 1024
-/** Starts kept of one request, the latest. */
+/** Crashes kept per request, the latest ones. */
 #define CRASH_MAX_EVENTS 8
 
-/** A start of a back end that ended. */
+/** The crash of a backend incarnation on which the request was running. */
 struct crash_event {
     uint64_t incarnation; /**< see crash_incarnation_key() */
-    uint64_t ended_at;    /**< when runs there broke off, as the first to notice saw it */
-    uint32_t attempt;     /**< of the caller, that ran there: see crash_attempt_key() */
-    uint64_t began_at;    /**< of the request's first run there that broke off; 0: not known */
-    uint64_t detected_at; /**< when somebody first knew that it had ended; 0: not known */
+    uint64_t ended_at;    /**< when runs on it broke off, as first observed by any gateway */
+    uint32_t attempt;     /**< the caller's attempt that ran on it, see crash_attempt_key() */
+    uint64_t began_at;    /**< begin of the request's first interrupted run on it; 0: unknown */
+    uint64_t detected_at; /**< when any node first knew of the crash; 0: unknown */
 };
 
-/** What is known of one request. */
+/** What is known about one request. */
 struct crash_entry {
     struct request_identity identity;
-    struct crash_event crashes[CRASH_MAX_EVENTS]; /**< the earliest end first */
+    struct crash_event crashes[CRASH_MAX_EVENTS]; /**< by end time, earliest first */
     uint32_t crash_count;
-    uint64_t cleared_at;      /**< time of its last good end; 0: none is known */
-    struct crash_lease lease; /**< of the back end at which it runs apart from others */
-    bool shared;              /**< it was there at more than one end once: all gateways keep it */
-    bool is_dirty;            /**< others were not told of the last change */
+    uint64_t cleared_at;      /**< time of its latest successful run; 0: none is known */
+    struct crash_lease lease; /**< on the incarnation on which it runs in isolation */
+    bool shared;              /**< held by all gateways, as it once had more than one crash */
+    bool is_dirty;            /**< changed since it was last sent to other nodes */
 };
 
 enum crash_verdict {
     CRASH_VERDICT_NONE,
-    CRASH_VERDICT_SUSPECT, /**< may run, apart from others */
+    CRASH_VERDICT_SUSPECT, /**< may run, in isolation where crash_table_requires_isolation() */
     CRASH_VERDICT_BLOCKED, /**< must not run */
 };
 
-/** \return the word for logs and reports */
+/** \return the name used in logs and reports */
 const char *crash_verdict_name(enum crash_verdict verdict);
 
 struct crash_table;
@@ -71,87 +74,91 @@
 struct crash_table *crash_table_create(void);
 void crash_table_destroy(struct crash_table *table);
 
-/** \brief What stands for one start of a back end on all nodes. \param born 0: not said */
+/**
+ * \brief Key of one backend incarnation, the same on all nodes.
+ * \param born start time of the incarnation; 0: not reported
+ */
 uint64_t crash_incarnation_key(const char *backend_id, uint64_t born);
 
 /**
- * \brief At which start a run was. One that is known to have ended cannot end again: a run that
- * began later was at the next one, of which nobody has said yet when it was born.
- * \param start see crash_incarnation_key()
- * \return what stands for it, the same on all nodes that know that end
+ * \brief The incarnation on which a run took place. One that is known to have crashed cannot crash
+ * again: a run that began later was on the next one, whose start time is not reported yet.
+ * \param incarnation see crash_incarnation_key()
+ * \param began_at begin of the run
+ * \return its key, the same on all nodes that know of the crash
  */
 uint64_t crash_table_incarnation_of_run(const struct crash_table *table, uint64_t incarnation,
                                         uint64_t began_at);
-/** \brief What stands for one attempt of a caller on all nodes, from the id that it sends. */
+/** \brief Key of one attempt of a caller, from its request id; the same on all nodes. */
 uint32_t crash_attempt_key(const char *request_id);
-/** \brief A start ended with this request. \return whether that is new */
+/** \brief Record a crash at which the request was running. \return whether the crash is new */
 bool crash_table_add(struct crash_table *table, const struct request_identity *identity,
                      const struct crash_event *crash);
-/** All of a request's work was done in one run. */
+/** Value of `ran_us` for a request that did all of its work in one run. */
 #define CRASH_FULL_RUN UINT64_MAX
 /**
- * \brief The request ran to a good end.
- * \param ran_us how long, where it went on with a stream; CRASH_FULL_RUN: all of it
- * \return whether that takes ends back that were held against it
+ * \brief Record that the request ran to completion.
+ * \param ran_us duration of the last run of a resumed stream; CRASH_FULL_RUN: it was not resumed
+ * \return whether this clears crashes recorded against it
  */
 bool crash_table_record_success(struct crash_table *table, const struct request_identity *identity,
                                 uint64_t at, uint64_t ran_us);
-/** \brief Take what another node holds of a request. \return whether any of it is new */
+/** \brief Merge another node's entry for a request. \return whether any of it is new */
 bool crash_table_merge(struct crash_table *table, const struct crash_entry *entry);
 enum crash_verdict crash_table_verdict(const struct crash_table *table,
                                        const struct request_identity *identity, uint64_t now);
-/** News of an end reach all gateways within this time, as long as their links work: a verdict that
- * rests on a later one may still change. */
+/** A crash is known to all gateways within this time, as long as their links work: a verdict that
+ *  depends on a later crash may still change. */
 #define CRASH_PROPAGATION_US ((uint64_t)200000)
-/** \return time from which the ends of a request are known everywhere */
+/** \return time from which all crashes of a request are known to all gateways */
 uint64_t crash_entry_settled_at(const struct crash_entry *entry);
-/** \return whether the request may run only where no other one of this kind does */
+/** \return whether the request may run only where no other isolated request does */
 bool crash_table_requires_isolation(const struct crash_table *table,
                                     const struct request_identity *identity, uint64_t now);
-/** \return time up to which the request must not run, where it is not blocked; 0: it may */
+/** \return time until which a request that is not blocked must not run; 0: it may */
 uint64_t crash_table_held_until(const struct crash_table *table,
                                 const struct request_identity *identity, uint64_t now);
-/** \return what follows from all entries for a request; nothing where none is held of it */
+/** \return the finding for a request, derived from all entries; zeroed if it has no entry */
 struct crash_finding crash_table_finding(const struct crash_table *table,
                                          const struct request_identity *identity, uint64_t now);
 /**
- * \brief An isolated request asks for a back end.
- * \param start see crash_incarnation_key()
- * \return the lease that it holds now: an older one that is valid stays
+ * \brief Request a lease on a backend incarnation for an isolated request.
+ * \param incarnation see crash_incarnation_key()
+ * \return the lease that it holds now: a valid one on the same incarnation is kept
  */
 struct crash_lease crash_table_acquire_lease(struct crash_table *table,
                                              const struct request_identity *identity,
                                              uint64_t incarnation, uint64_t now);
 /**
- * \brief The starts of back ends at which other isolated requests run, or go before this one.
- * \param starts CRASH_MAX_LEASED_INCARNATIONS of them at most, written
+ * \brief The backend incarnations that other isolated requests hold a lease on, with precedence
+ * over this request.
+ * \param incarnations written, at most CRASH_MAX_LEASED_INCARNATIONS
  * \return their number
  */
 uint32_t crash_table_leased_to_others(const struct crash_table *table,
                                       const struct request_identity *identity, uint64_t now,
                                       uint64_t *incarnations);
-/** \brief Forget what is too old. */
+/** \brief Remove expired entries. */
 void crash_table_trim(struct crash_table *table, uint64_t now);
 
-/** \return 0 as long as nobody is under suspicion */
+/** \return number of entries; 0 as long as no request is suspected */
 uint32_t crash_table_count(const struct crash_table *table);
 struct crash_entry *crash_table_at(struct crash_table *table, uint32_t index);
-/** \return or NULL */
+/** \return the entry, or NULL */
 const struct crash_entry *crash_table_find(const struct crash_table *table,
                                            const struct request_identity *identity);
-/** \return starts that count, those that ended at the same moment once */
+/** \return number of crashes, with simultaneous ones counted as one */
 uint32_t crash_entry_distinct_crashes(const struct crash_entry *entry);
-/** \return the same without those whose place in `without` is true */
+/** \return the same, leaving out the crashes at indexes where `without` is true */
 uint32_t crash_entry_distinct_crashes_except(const struct crash_entry *entry,
                                              const bool without[CRASH_MAX_EVENTS]);
-/** \return whether one attempt of a caller was at all ends of a request */
+/** \return whether the same attempt of a caller was present at all crashes of a request */
 bool crash_entry_has_single_attempt(const struct crash_entry *entry);
-/** News of an end reach all gateways within this time; only then a digest counts it. */
+/** A digest leaves out crashes younger than this, which are still being propagated. */
 #define CRASH_DIGEST_DELAY_US ((uint64_t)500000)
 /**
- * \return a digest of the entries with more than one start, the same on nodes that hold the same;
- * 0: none. Ends of the last CRASH_DIGEST_DELAY_US are left out: news of them are still on their
- * way.
+ * \return a digest of the entries with more than one crash, equal on nodes that hold the same
+ * entries; 0: there are none. Crashes of the last CRASH_DIGEST_DELAY_US are left out.
  */
 uint64_t crash_table_digest(const struct crash_table *table, uint64_t now);
 
--- a/src/core/crash_verdict.c
+++ b/src/core/crash_verdict.c
@@ -6,16 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A request at the end of a start. */
+/* A request that was present at a crash. */
 struct participant {
     uint64_t incarnation;
-    uint32_t entry; /* its index */
-    uint32_t place; /* of the start among those of the entry */
+    uint32_t entry; /* index of the request's entry */
+    uint32_t crash; /* index of the crash in the entry */
 };
 
-/* The requests with several ends, by start: only they can explain an end, or make it ambiguous. */
+/* The participants that have several crashes, sorted by incarnation: only these requests can
+ * explain a crash or make it ambiguous. */
 struct participants {
-    struct participant *items; /* those of one start stand together */
+    struct participant *items;
     uint32_t count;
 };
 
@@ -25,8 +26,8 @@
     uint64_t now;
     struct crash_finding *findings;
     struct participants participants;
-    bool (*explained)[CRASH_MAX_EVENTS]; /* of each entry: ends where another blocked one was */
-    bool *chosen;                        /* of each entry: its verdict settles in this round */
+    bool (*explained)[CRASH_MAX_EVENTS]; /* by entry: crashes where another, blocked one was */
+    bool *chosen;                        /* by entry: its verdict settles in this round */
 };
 
 static int compare_participants(const void *left, const void *right)
@@ -59,7 +60,7 @@
     return participants;
 }
 
-/* \return index after the last presence at the start of the one at `first` */
+/* \return index after the last participant of the same crash as the one at `first` */
 static uint32_t end_of_group(const struct participants *participants, uint32_t first)
 {
     uint32_t last = first;
@@ -69,7 +70,7 @@
     return last;
 }
 
-/* --- explained ends ------------------------------------------------------------------------------
+/* --- explained crashes ---------------------------------------------------------------------------
  */
 
 static void explain_group(struct evaluation *evaluation, uint32_t first, uint32_t last)
@@ -79,7 +80,7 @@
     for (uint32_t i = first; i < last; i++)
         blocked += evaluation->findings[items[i].entry].settled;
     for (uint32_t i = first; i < last; i++)
-        evaluation->explained[items[i].entry][items[i].place] =
+        evaluation->explained[items[i].entry][items[i].crash] =
             blocked > evaluation->findings[items[i].entry].settled;
 }
 
@@ -114,7 +115,7 @@
 /* --- proofs --------------------------------------------------------------------------------------
  */
 
-/* \return unexplained ends of a request up to a time; those of one moment count once */
+/* \return unexplained crashes of a request up to a time; simultaneous ones count once */
 static uint32_t unexplained_until(const struct evaluation *evaluation, uint32_t entry,
                                   uint64_t until)
 {
@@ -128,23 +129,24 @@
 static uint64_t crashed_at(const struct evaluation *evaluation,
                            const struct participant *participant)
 {
-    return evaluation->entries[participant->entry].crashes[participant->place].ended_at;
+    return evaluation->entries[participant->entry].crashes[participant->crash].ended_at;
 }
 
-/* Who is blocked runs no more, so what others end later says nothing of the ends that it was at. */
+/* A blocked request no longer runs, so crashes that others cause later say nothing about its own
+ * crashes. */
 static uint64_t evidence_until(const struct evaluation *evaluation, uint32_t entry)
 {
     return crash_entry_settled_at(&evaluation->entries[entry]);
 }
 
-/* \return whether the end is proof against a request: it had reason to be isolated by then, and
- * none of the others there has, as far as is known when its last end has settled */
+/* \return whether the crash is proof against a request: it had enough crashes to be isolated by
+ * then, and no other participant has, as known when the latest crash of the request settles */
 static bool is_proof(const struct evaluation *evaluation, uint32_t first, uint32_t last,
                      const struct participant *participant)
 {
     const struct participant *items = evaluation->participants.items;
     uint64_t until = evidence_until(evaluation, participant->entry);
-    if (evaluation->explained[participant->entry][participant->place] ||
+    if (evaluation->explained[participant->entry][participant->crash] ||
         unexplained_until(evaluation, participant->entry, crashed_at(evaluation, participant)) <
             CRASHES_TO_ISOLATE)
         return false;
@@ -179,21 +181,20 @@
     return false;
 }
 
-/* \return whether an end of another request came lately, has no explanation, and was without this
- * one
- */
+/* \return whether a crash of another request is recent and unexplained, and this request was not
+ * present */
 static bool is_unrelated_unexplained(const struct evaluation *evaluation, uint32_t own,
-                                     uint32_t other, uint32_t place)
+                                     uint32_t other, uint32_t index)
 {
-    const struct crash_event *crash = &evaluation->entries[other].crashes[place];
+    const struct crash_event *crash = &evaluation->entries[other].crashes[index];
     uint64_t until = evidence_until(evaluation, own);
     uint64_t since = until > CRASH_SINGLE_TTL_US ? until - CRASH_SINGLE_TTL_US : 0;
     return crash->ended_at >= since && crash->ended_at <= until &&
-           !evaluation->explained[other][place] &&
+           !evaluation->explained[other][index] &&
            !has_incarnation(&evaluation->entries[own], crash->incarnation);
 }
 
-/* \return whether somebody against whom there is a proof was at the end of a start */
+/* \return whether a request with a proof against it was present at the crash of an incarnation */
 static bool has_likely_cause(const struct evaluation *evaluation, uint64_t incarnation)
 {
     const struct participants *participants = &evaluation->participants;
@@ -204,8 +205,8 @@
     return false;
 }
 
-/* \return whether back ends ended lately without the request and without a likely cause: what ends
- * them may have ended those as well at which the request was */
+/* \return whether backends crashed recently without the request and without a likely cause: the
+ * unknown cause may have crashed the request's backends as well */
 static bool is_noisy(const struct evaluation *evaluation, uint32_t own)
 {
     for (uint32_t i = 0; i < evaluation->entry_count; i++) {
@@ -222,13 +223,13 @@
 {
     const struct crash_entry *entry = &evaluation->entries[index];
     const struct crash_finding *finding = &evaluation->findings[index];
-    bool one_attempt = crash_entry_has_single_attempt(entry);
-    uint32_t ends = one_attempt ? CRASHES_TO_BLOCK_SINGLE_ATTEMPT : CRASHES_TO_BLOCK;
-    if (finding->unexplained < ends || !finding->proofs)
+    bool single_attempt = crash_entry_has_single_attempt(entry);
+    uint32_t crashes = single_attempt ? CRASHES_TO_BLOCK_SINGLE_ATTEMPT : CRASHES_TO_BLOCK;
+    if (finding->unexplained < crashes || !finding->proofs)
         return false;
     uint32_t proofs =
         is_noisy(evaluation, index) ? CRASH_PROOFS_TO_BLOCK_IN_NOISE : CRASH_PROOFS_TO_BLOCK;
-    return finding->proofs >= proofs + one_attempt;
+    return finding->proofs >= proofs + single_attempt;
 }
 
 static bool has_crashes_to_block(const struct evaluation *evaluation, uint32_t index)
@@ -239,7 +240,7 @@
 
 typedef bool (*block_rule)(const struct evaluation *evaluation, uint32_t index);
 
-/* \return whether a rule blocks a request, and its last end has settled */
+/* \return whether a rule newly blocks a request whose latest crash has settled */
 static bool is_newly_settled(const struct evaluation *evaluation, uint32_t index, block_rule rule)
 {
     return !evaluation->findings[index].settled &&
@@ -247,9 +248,10 @@
            rule(evaluation, index);
 }
 
-/* Those whose last end was first explain ends of those that come after them. Two that always meet
- * share that end: neither explains it for the other.
- * \return whether there are any */
+/* Settles the requests whose latest crash is earliest; they explain crashes of the later ones. Two
+ * requests that always run together share their latest crash and settle in the same round: neither
+ * explains it for the other.
+ * \return whether any request settled */
 static bool settle_earliest(struct evaluation *evaluation, block_rule rule)
 {
     uint64_t first_at = UINT64_MAX;
@@ -298,8 +300,8 @@
     }
 }
 
-/* Each request that is blocked explains ends of others, by which further ones may be proven, or be
- * no longer. Proofs go before mere numbers. */
+/* Each blocked request explains crashes of others, which may prove further requests or invalidate
+ * proofs, so this repeats until no more verdicts settle. Proofs take precedence over counts. */
 uint64_t crash_verdict_evaluate(const struct crash_entry *entries, uint32_t count, uint64_t now,
                                 struct crash_finding *findings)
 {
--- a/tests/core/crash_lease_test.c
+++ b/tests/core/crash_lease_test.c
@@ -1,4 +1,4 @@
-/* Who of the requests that may crash back ends runs at which of them. */
+/* Leases that keep isolated requests on separate backend incarnations. */
 #include "testing.h"
 
 #include "core/crash_table.h"
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-#define MS ((uint64_t)1000)
-#define START_US (1000 * 1000 * MS)
+#define MS_US ((uint64_t)1000)
+#define START_US (1000 * 1000 * MS_US)
 
 static struct request_identity identity_of(uint32_t number)
 {
@@ -20,25 +20,26 @@
                       uint64_t at)
 {
     struct request_identity identity = identity_of(request);
-    struct crash_event end = {incarnation, at, (uint32_t)incarnation, 0, at};
-    crash_table_add(table, &identity, &end);
+    struct crash_event crash = {incarnation, at, (uint32_t)incarnation, 0, at};
+    crash_table_add(table, &identity, &crash);
 }
 
-/* Both were at two ends; request 2 at one more. */
+/* Requests 1 and 2 were present at two crashes and are isolated; request 2 at one more, together
+ * with request 3. */
 static struct crash_table *create_isolating_table(void)
 {
     struct crash_table *table = crash_table_create();
     for (uint64_t incarnation = 1; incarnation <= 2; incarnation++) {
-        add_crash(table, 1, incarnation, START_US + incarnation * 100 * MS);
-        add_crash(table, 2, incarnation, START_US + incarnation * 100 * MS);
+        add_crash(table, 1, incarnation, START_US + incarnation * 100 * MS_US);
+        add_crash(table, 2, incarnation, START_US + incarnation * 100 * MS_US);
     }
-    add_crash(table, 2, 3, START_US + 300 * MS);
-    add_crash(table, 3, 3, START_US + 300 * MS);
+    add_crash(table, 2, 3, START_US + 300 * MS_US);
+    add_crash(table, 3, 3, START_US + 300 * MS_US);
     return table;
 }
 
-static uint64_t lease(struct crash_table *table, uint32_t request, uint64_t incarnation,
-                      uint64_t now)
+static uint64_t acquire_lease(struct crash_table *table, uint32_t request, uint64_t incarnation,
+                              uint64_t now)
 {
     struct request_identity identity = identity_of(request);
     return crash_table_acquire_lease(table, &identity, incarnation, now).since;
@@ -59,13 +60,13 @@
 static void lease_excludes_other_isolated_requests(void **state)
 {
     struct crash_table *table = create_isolating_table();
-    uint64_t now = START_US + 310 * MS;
-    lease(table, 1, 50, now);
+    uint64_t now = START_US + 310 * MS_US;
+    acquire_lease(table, 1, 50, now);
     assert_false(is_leased_to_other(table, 1, 50, now));
     uint64_t later = now + CRASH_LEASE_PROPAGATION_US;
     assert_true(is_leased_to_other(table, 2, 50, later));
-    assert_true(
-        is_leased_to_other(table, 3, 50, later)); /* a suspect of one end goes elsewhere, too */
+    /* A suspect with a single crash avoids leased incarnations, too. */
+    assert_true(is_leased_to_other(table, 3, 50, later));
     assert_false(is_leased_to_other(table, 2, 51, later));
     assert_false(is_leased_to_other(table, 2, 50, now + CRASH_LEASE_DURATION_US));
     crash_table_destroy(table);
@@ -74,12 +75,12 @@
 static void concurrent_lease_goes_to_the_more_suspect_request(void **state)
 {
     struct crash_table *table = create_isolating_table();
-    uint64_t now = START_US + 310 * MS;
-    lease(table, 1, 50, now);
-    assert_false(is_leased_to_other(table, 2, 50, now + 5 * MS));
-    lease(table, 2, 50, now + 5 * MS);
-    assert_true(is_leased_to_other(table, 1, 50, now + 10 * MS));
-    assert_false(is_leased_to_other(table, 2, 50, now + 10 * MS));
+    uint64_t now = START_US + 310 * MS_US;
+    acquire_lease(table, 1, 50, now);
+    assert_false(is_leased_to_other(table, 2, 50, now + 5 * MS_US));
+    acquire_lease(table, 2, 50, now + 5 * MS_US);
+    assert_true(is_leased_to_other(table, 1, 50, now + 10 * MS_US));
+    assert_false(is_leased_to_other(table, 2, 50, now + 10 * MS_US));
     crash_table_destroy(table);
 }
 
@@ -87,25 +88,25 @@
 {
     struct crash_table *table = create_isolating_table();
     struct request_identity identity = identity_of(1);
-    uint64_t now = START_US + 310 * MS;
-    lease(table, 1, 50, now);
-    crash_table_record_success(table, &identity, now + 40 * MS, CRASH_FULL_RUN);
-    assert_false(is_leased_to_other(table, 2, 50, now + 50 * MS));
+    uint64_t now = START_US + 310 * MS_US;
+    acquire_lease(table, 1, 50, now);
+    crash_table_record_success(table, &identity, now + 40 * MS_US, CRASH_FULL_RUN);
+    assert_false(is_leased_to_other(table, 2, 50, now + 50 * MS_US));
     crash_table_destroy(table);
 }
 
 static void attempts_of_one_request_share_the_first_lease(void **state)
 {
     struct crash_table *here = create_isolating_table(), *there = create_isolating_table();
-    uint64_t now = START_US + 310 * MS;
-    lease(here, 1, 50, now);
-    lease(there, 1, 51, now + 3 * MS);
+    uint64_t now = START_US + 310 * MS_US;
+    acquire_lease(here, 1, 50, now);
+    acquire_lease(there, 1, 51, now + 3 * MS_US);
     crash_table_merge(here, crash_table_at(there, 0));
     crash_table_merge(there, crash_table_at(here, 0));
     assert_int_equal(crash_table_at(here, 0)->lease.incarnation, 50);
     assert_int_equal(crash_table_at(there, 0)->lease.incarnation, 50);
-    /* One that is asked for clearly later takes the place of the last one. */
-    lease(there, 1, 52, now + 500 * MS);
+    /* A lease acquired clearly later replaces the earlier one. */
+    acquire_lease(there, 1, 52, now + 500 * MS_US);
     assert_true(crash_table_merge(here, crash_table_at(there, 0)));
     assert_int_equal(crash_table_at(here, 0)->lease.incarnation, 52);
     assert_false(crash_table_merge(there, crash_table_at(here, 0)));
@@ -116,10 +117,10 @@
 static void acquiring_the_same_lease_again_changes_nothing(void **state)
 {
     struct crash_table *table = create_isolating_table();
-    uint64_t now = START_US + 310 * MS;
-    lease(table, 1, 50, now);
+    uint64_t now = START_US + 310 * MS_US;
+    acquire_lease(table, 1, 50, now);
     crash_table_at(table, 0)->is_dirty = false;
-    assert_int_equal(lease(table, 1, 50, now + 40 * MS), now);
+    assert_int_equal(acquire_lease(table, 1, 50, now + 40 * MS_US), now);
     assert_false(crash_table_at(table, 0)->is_dirty);
     crash_table_destroy(table);
 }
--- a/tests/core/crash_spread_test.c
+++ b/tests/core/crash_spread_test.c
@@ -1,4 +1,4 @@
-/* Who is told of requests that were there when back ends ended, and what that costs a fleet. */
+/* Which nodes receive crash entries, and how many messages that costs a fleet. */
 #include "testing.h"
 
 #include "core/crash_spread.h"
@@ -11,12 +11,12 @@
 #define SECOND_US ((uint64_t)1000000)
 #define TRANSIT_US 2500
 #define MAX_ROUNDS 40
-/* Each node tells its receivers once. */
+/* Each node sends an entry to its receivers once. */
 #define MAX_MESSAGES                                                                               \
     ((FLEET_GATEWAYS + CRASH_LOADER_REPLICAS) *                                                    \
      (CRASH_GOSSIP_FANOUT + CRASH_GATEWAY_REPLICAS + CRASH_LOADER_REPLICAS))
 
-/* A fleet whose nodes are told of things, one after the other. */
+/* A fleet whose nodes exchange their entries, one node after the other. */
 struct fleet {
     struct membership *memberships[FLEET_MEMBERS];
     struct crash_table *tables[FLEET_MEMBERS];
@@ -48,7 +48,7 @@
     return identity;
 }
 
-/* Ages leave out the time that a message takes: what arrives seems later. */
+/* Times are sent as ages, without the time that a message takes: they seem later on arrival. */
 static struct crash_entry with_transit_delay(const struct crash_entry *entry)
 {
     struct crash_entry arrived = *entry;
@@ -58,7 +58,7 @@
     return arrived;
 }
 
-/* A node tells what it did not tell yet. \return whether there was something */
+/* Sends the entries of a node that changed. \return whether there were any */
 static bool gossip_from(struct fleet *fleet, uint32_t node)
 {
     bool sent = false;
@@ -78,7 +78,7 @@
     return sent;
 }
 
-/* \return rounds until nobody has anything to tell */
+/* \return rounds until no node has anything to send */
 static uint32_t gossip_until_quiet(struct fleet *fleet)
 {
     uint32_t rounds = 0;
@@ -94,9 +94,9 @@
                          uint64_t incarnation)
 {
     struct request_identity identity = identity_of(request);
-    struct crash_event end = {incarnation, NOW + incarnation * SECOND_US, (uint32_t)incarnation, 0,
-                              0};
-    crash_table_add(fleet->tables[gateway], &identity, &end);
+    struct crash_event crash = {incarnation, NOW + incarnation * SECOND_US, (uint32_t)incarnation,
+                                0, 0};
+    crash_table_add(fleet->tables[gateway], &identity, &crash);
 }
 
 static uint32_t count_gateways_with(const struct fleet *fleet, uint32_t request, uint32_t crashes)
@@ -149,7 +149,8 @@
     destroy_fleet(&fleet);
 }
 
-/* Every hop made a good end seem later, which was news each time: it went round for ever. */
+/* Guards against endless gossip: every hop made the time of a successful run seem later, and each
+ * node took that for a change and sent it again. */
 static void successful_run_is_gossiped_once(void **state)
 {
     struct fleet fleet;
--- a/tests/core/crash_table_test.c
+++ b/tests/core/crash_table_test.c
@@ -1,4 +1,4 @@
-/* Which requests crash back ends, from who was there when back ends ended. */
+/* Which requests are found to crash backends, from the requests present at each crash. */
 #include "testing.h"
 
 #include "core/crash_table.h"
@@ -22,12 +22,12 @@
                                  uint64_t at, uint32_t attempt)
 {
     struct request_identity identity = identity_of(request);
-    struct crash_event end = {
+    struct crash_event crash = {
         .incarnation = incarnation, .ended_at = at, .attempt = attempt, .detected_at = at};
-    crash_table_add(table, &identity, &end);
+    crash_table_add(table, &identity, &crash);
 }
 
-/* Each time in another attempt of the caller. */
+/* Adds a crash with a new attempt of the caller each time. */
 static void add_crash(struct crash_table *table, uint32_t request, uint64_t incarnation,
                       uint64_t at)
 {
@@ -80,7 +80,7 @@
     assert_int_equal(crash_incarnation_key("engine-1", 5), crash_incarnation_key("engine-1", 5));
 }
 
-/* A request whose like runs everywhere is at each end when a zone loses power. */
+/* A request that runs on many backends is present at many crashes when a zone loses power. */
 static void simultaneous_crashes_count_once(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -99,7 +99,7 @@
     }
     assert_int_equal(verdict(table, 1, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
     assert_int_equal(verdict(table, 2, START_US + 3 * SECOND_US), CRASH_VERDICT_SUSPECT);
-    /* One of them alone was at the next end: it explains all the others. */
+    /* A crash with only one of them present proves that one, and so explains the others. */
     add_crash(table, 1, 4, START_US + 4 * SECOND_US);
     assert_int_equal(verdict(table, 1, START_US + 4 * SECOND_US), CRASH_VERDICT_BLOCKED);
     assert_int_equal(verdict(table, 2, START_US + 4 * SECOND_US), CRASH_VERDICT_SUSPECT);
@@ -118,8 +118,8 @@
     crash_table_destroy(table);
 }
 
-/* A begun stream goes on at the next engine: one attempt of its caller may meet the ends that
- * others are the cause of. */
+/* A stream that has begun is resumed on another engine, so a single attempt of its caller may be
+ * present at several crashes that other requests cause. */
 static void single_attempt_needs_more_than_three_crashes(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -138,7 +138,7 @@
     add_crash(table, 1, 2, START_US + SECOND_US);
     record_success(table, 1, START_US + 2 * SECOND_US);
     assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
-    /* News of an end before that come late. */
+    /* A crash before the successful run is reported late. */
     add_crash(table, 1, 3, START_US + SECOND_US);
     assert_int_equal(verdict(table, 1, START_US + 2 * SECOND_US), CRASH_VERDICT_NONE);
     add_crash(table, 1, 4, START_US + 3 * SECOND_US);
@@ -189,8 +189,8 @@
     crash_table_destroy(table);
 }
 
-/* Guards against ends that were not counted: gateways that had not heard yet when the next start of
- * a back end was born took its end for that of the last one. */
+/* Guards against uncounted crashes: gateways that did not know the start time of the next
+ * incarnation yet took its crash for that of the previous one. */
 static void run_begun_after_a_crash_belongs_to_the_next_incarnation(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -212,12 +212,12 @@
                             uint64_t at)
 {
     struct request_identity identity = identity_of(1);
-    struct crash_event end = {incarnation, at, (uint32_t)at, began_at, at};
-    crash_table_add(table, &identity, &end);
+    struct crash_event crash = {incarnation, at, (uint32_t)at, began_at, at};
+    crash_table_add(table, &identity, &crash);
 }
 
-/* Guards against ends that counted twice: a node that stood still takes messages that lay there for
- * seconds, and all their times seem later to it. */
+/* Guards against a crash that counts twice: a node that was stalled reads messages that were queued
+ * for seconds, and all times in them seem later than they are. */
 static void delayed_report_does_not_count_twice(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -228,8 +228,8 @@
     crash_table_destroy(table);
 }
 
-/* Guards against a request that was cleared by others' work: a stream that ends each back end after
- * a second of it went on elsewhere for the rest, and that ended well. */
+/* Guards against wrongly clearing a request: a stream that crashes each backend after running for a
+ * second was resumed elsewhere, and the short rest succeeded. */
 static void resumed_run_clears_only_crashes_after_shorter_runs(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -243,8 +243,8 @@
     crash_table_destroy(table);
 }
 
-/* Guards against a request that crashes back ends and is never proven: a stream that was at two
- * ends with it is done, and its ends would stay ambiguous. */
+/* Guards against a request that crashes backends and is never proven: a stream that was present at
+ * two of its crashes has completed, and the crashes would stay ambiguous. */
 static void resumed_run_clears_a_single_attempt(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -259,8 +259,8 @@
     crash_table_destroy(table);
 }
 
-/* Guards against ends that counted twice: a run broke off, by its link, before its back end ended,
- * and another gateway's run began in between. */
+/* Guards against a crash that counts twice: a run was interrupted by its link before the backend
+ * crashed, and a run of another gateway began in between. */
 static void run_interrupted_before_the_crash_adds_no_second_crash(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -274,8 +274,8 @@
     crash_table_destroy(table);
 }
 
-/* Guards against ends that came back: a good end was not told to those who had been told of the end
- * before it, and a gateway that began anew learned that one from them. */
+/* Guards against cleared crashes that return: a successful run was not sent to the nodes that knew
+ * of the crash before it, and a restarted gateway learned of the crash from them. */
 static void successful_run_is_gossiped_even_after_one_crash(void **state)
 {
     struct crash_table *table = crash_table_create();
@@ -286,34 +286,34 @@
     crash_table_destroy(table);
 }
 
-/* --- any order -----------------------------------------------------------------------------------
+/* --- merging in any order ------------------------------------------------------------------------
  */
 
-enum { FACTS = 24, NODES = 3, REQUESTS = 5, STARTS = 7 };
+enum { FACTS = 24, NODES = 3, REQUESTS = 5, INCARNATIONS = 7 };
 
-/* A start ended with a request, or a request ran well. */
+/* A request was present at a crash, or ran to completion. */
 struct fact {
     uint32_t request;
-    uint64_t incarnation; /* 0: it ran well */
+    uint64_t incarnation; /* 0: it ran to completion */
     uint64_t at;
 };
 
 static void draw_facts(struct random_stream *random, struct fact facts[FACTS])
 {
-    uint64_t ends[STARTS + 1];
-    for (uint32_t i = 0; i <= STARTS; i++)
-        ends[i] = START_US + random_below(random, 20) * SECOND_US;
+    uint64_t crashes[INCARNATIONS + 1];
+    for (uint32_t i = 0; i <= INCARNATIONS; i++)
+        crashes[i] = START_US + random_below(random, 20) * SECOND_US;
     for (uint32_t i = 0; i < FACTS; i++) {
-        uint64_t incarnation = random_below(random, STARTS + 1);
-        uint64_t delay = random_below(random, 5) * 1000; /* seen by another gateway */
+        uint64_t incarnation = random_below(random, INCARNATIONS + 1);
+        uint64_t delay = random_below(random, 5) * 1000; /* as observed by another gateway */
         facts[i] =
             (struct fact){(uint32_t)random_below(random, REQUESTS), incarnation,
-                          incarnation ? ends[incarnation] + delay
+                          incarnation ? crashes[incarnation] + delay
                                       : START_US + random_below(random, 20) * SECOND_US + 500000};
     }
 }
 
-static void take_fact(struct crash_table *table, const struct fact *fact)
+static void apply_fact(struct crash_table *table, const struct fact *fact)
 {
     if (fact->incarnation)
         add_crash(table, fact->request, fact->incarnation, fact->at);
@@ -327,22 +327,23 @@
         crash_table_merge(into, crash_table_at(from, i));
 }
 
-/* Facts reach nodes in any order, some twice, and the nodes tell each other again and again. A good
- * end of a request that is not under suspicion is not kept: facts of that kind go to all. */
+/* Delivers facts to nodes in random order, some twice, while the nodes merge each other's entries.
+ * A node drops a successful run of a request that it holds no crash of; the merges at the end
+ * spread those that were kept. */
 static void deliver_facts(struct random_stream *random, const struct fact facts[FACTS],
                           struct crash_table *nodes[NODES])
 {
     uint32_t order[FACTS] = {0};
     for (uint32_t i = 0; i < FACTS; i++) {
-        uint32_t place = (uint32_t)random_below(random, i + 1);
-        order[i] = order[place];
-        order[place] = i;
+        uint32_t slot = (uint32_t)random_below(random, i + 1);
+        order[i] = order[slot];
+        order[slot] = i;
     }
     for (uint32_t i = 0; i < FACTS; i++) {
         const struct fact *fact = &facts[order[i]];
-        take_fact(nodes[random_below(random, NODES)], fact);
+        apply_fact(nodes[random_below(random, NODES)], fact);
         if (random_below(random, 3) == 0)
-            take_fact(nodes[random_below(random, NODES)], fact);
+            apply_fact(nodes[random_below(random, NODES)], fact);
         if (random_below(random, 2) == 0)
             merge_all(nodes[random_below(random, NODES)], nodes[random_below(random, NODES)]);
     }
@@ -374,7 +375,7 @@
     }
 }
 
-/* --- a small world -------------------------------------------------------------------------------
+/* --- simulated engines ---------------------------------------------------------------------------
  */
 
 enum {
@@ -386,20 +387,20 @@
     COMPLETIONS_PER_STEP = 6
 };
 
-/* Some requests that crash engines, the first numbers, among others that run once and, when broken
- * off, go on. */
+/* Engines that run requests, of which the first `crashing` ones crash their engine. The others run
+ * once, and are resumed on another engine when they are interrupted. */
 struct world {
     struct random_stream random;
     struct crash_table *table;
     bool uses_rendezvous; /* suspects are placed by rendezvous weight */
-    uint32_t on[ENGINES][ENGINE_SLOTS + 2];
+    uint32_t running[ENGINES][ENGINE_SLOTS + 2];
     uint32_t count[ENGINES];
     uint64_t born[ENGINES];
-    uint32_t interruptions[WORLD_REQUESTS]; /* times that the request was broken off */
-    uint32_t ends;
+    uint32_t interruptions[WORLD_REQUESTS]; /* by request */
+    uint32_t crashes;
     uint32_t next_request;
     uint32_t crashing;
-    uint32_t refused; /* others that were refused as they went on */
+    uint32_t refused; /* others that were refused when they were to be resumed */
 };
 
 static uint32_t rendezvous_engine(struct world *world, uint32_t request, uint32_t avoid)
@@ -424,49 +425,51 @@
     else
         engine = (uint32_t)((avoid + 1 + random_below(&world->random, ENGINES - 1)) % ENGINES);
     if (world->count[engine] < ENGINE_SLOTS + 2)
-        world->on[engine][world->count[engine]++] = request;
+        world->running[engine][world->count[engine]++] = request;
 }
 
 static void crash_engine(struct world *world, uint32_t engine, uint64_t now)
 {
-    uint32_t there[ENGINE_SLOTS + 2], count = world->count[engine];
-    memcpy(there, world->on[engine], sizeof there);
+    uint32_t interrupted[ENGINE_SLOTS + 2], count = world->count[engine];
+    memcpy(interrupted, world->running[engine], sizeof interrupted);
     world->count[engine] = 0;
-    world->ends++;
+    world->crashes++;
     uint64_t incarnation = crash_incarnation_key("engine", engine * 1000 + world->born[engine]);
-    for (uint32_t i = 0; i < count; i++) /* those that crash engines come again, others go on */
-        add_crash_of_attempt(world->table, there[i], incarnation, now,
-                             there[i] < world->crashing ? world->ends : 0);
+    for (uint32_t i = 0; i < count;
+         i++) /* crashing requests come in new attempts, others are resumed */
+        add_crash_of_attempt(world->table, interrupted[i], incarnation, now,
+                             interrupted[i] < world->crashing ? world->crashes : 0);
     world->born[engine]++;
     for (uint32_t i = 0; i < count; i++)
-        if (there[i] >= world->crashing && ++world->interruptions[there[i]] < ATTEMPTS)
-            place_request(world, there[i], engine, now);
+        if (interrupted[i] >= world->crashing && ++world->interruptions[interrupted[i]] < ATTEMPTS)
+            place_request(world, interrupted[i], engine, now);
 }
 
 static bool has_crashing(const struct world *world, uint32_t engine)
 {
     for (uint32_t i = 0; i < world->count[engine]; i++)
-        if (world->on[engine][i] < world->crashing)
+        if (world->running[engine][i] < world->crashing)
             return true;
     return false;
 }
 
-/* Those that are there longest run to their end; others take their places. */
+/* Completes the requests that have run longest and fills the free slots with new ones. */
 static void complete_and_refill(struct world *world, uint32_t engine, uint64_t now)
 {
     uint32_t done =
         world->count[engine] < COMPLETIONS_PER_STEP ? world->count[engine] : COMPLETIONS_PER_STEP;
     for (uint32_t i = 0; i < done; i++)
-        record_success(world->table, world->on[engine][i], now);
+        record_success(world->table, world->running[engine][i], now);
     world->count[engine] -= done;
-    memmove(world->on[engine], world->on[engine] + done,
-            world->count[engine] * sizeof world->on[engine][0]);
+    memmove(world->running[engine], world->running[engine] + done,
+            world->count[engine] * sizeof world->running[engine][0]);
     while (world->count[engine] < ENGINE_SLOTS)
-        world->on[engine][world->count[engine]++] =
+        world->running[engine][world->count[engine]++] =
             world->crashing + world->next_request++ % (WORLD_REQUESTS - world->crashing);
 }
 
-/* \return other requests that were refused when they went on, or are blocked in the end */
+/* \return other requests that were refused when they were to be resumed, or are blocked at the end
+ */
 static uint32_t run_world(struct world *world)
 {
     uint32_t blocked = 0;
@@ -486,40 +489,44 @@
     return blocked + world->refused;
 }
 
-static void run_worlds(bool uses_rendezvous, uint32_t crashing, uint32_t worlds, uint32_t *ends,
+static void run_worlds(bool uses_rendezvous, uint32_t crashing, uint32_t worlds, uint32_t *crashes,
                        uint32_t *blocked)
 {
-    *ends = *blocked = 0;
+    *crashes = *blocked = 0;
     for (uint64_t seed = 1; seed <= worlds; seed++) {
         struct world world = {
             .random = {.seed = seed}, .uses_rendezvous = uses_rendezvous, .crashing = crashing};
         world.table = crash_table_create();
         *blocked += run_world(&world);
-        *ends += world.ends;
+        *crashes += world.crashes;
         crash_table_destroy(world.table);
     }
 }
 
-/* 12 engines of 13 places; who is broken off goes on at once, with three attempts. */
+/* 12 engines of 13 slots; an interrupted request is resumed at once, with three attempts. */
 static void one_crashing_request_blocks_no_others(void **state)
 {
-    uint32_t ends, blocked;
-    run_worlds(true, 1, 1000, &ends, &blocked);
-    print_message("one, with ranks: %u ends in 1,000 worlds, %u others blocked\n", ends, blocked);
+    uint32_t crashes, blocked;
+    run_worlds(true, 1, 1000, &crashes, &blocked);
+    print_message("one crashing request, rendezvous placement: %u crashes in 1,000 worlds, %u "
+                  "others blocked\n",
+                  crashes, blocked);
     assert_int_equal(blocked, 0);
-    assert_in_range(ends, 3000, 3300);
-    run_worlds(false, 1, 1000, &ends, &blocked);
-    print_message("one, without: %u ends, %u others blocked\n", ends, blocked);
+    assert_in_range(crashes, 3000, 3300);
+    run_worlds(false, 1, 1000, &crashes, &blocked);
+    print_message("one crashing request, random placement: %u crashes, %u others blocked\n",
+                  crashes, blocked);
 }
 
-/* Three of them at once: others are met by chance at the ends of several. */
+/* With three crashing requests at once, others are present at crashes of several by chance. */
 static void three_crashing_requests_block_few_others(void **state)
 {
-    uint32_t ends, blocked;
-    run_worlds(true, 3, 1000, &ends, &blocked);
-    print_message("three: %u ends in 1,000 worlds, %u others blocked\n", ends, blocked);
+    uint32_t crashes, blocked;
+    run_worlds(true, 3, 1000, &crashes, &blocked);
+    print_message("three crashing requests: %u crashes in 1,000 worlds, %u others blocked\n",
+                  crashes, blocked);
     assert_in_range(blocked, 0, 10);
-    assert_in_range(ends, 6000, 12000);
+    assert_in_range(crashes, 6000, 12000);
 }
 
 int main(void)
