--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEPT_FREE_PERCENT 25 /* part of unused shares that others may not borrow */
+#define RESERVED_PERCENT 25 /* part of unused shares that others may not borrow */
 
 void admission_configure(struct admission *admission, uint32_t limit,
                          const struct tenant_config *tenants, uint32_t count)
@@ -43,7 +43,7 @@
 }
 
 /* Slots kept free for other tenants that are below their shares. */
-static uint32_t kept_for_others(const struct admission *admission, uint32_t tenant)
+static uint32_t reserved_for_others(const struct admission *admission, uint32_t tenant)
 {
     uint64_t unused = 0;
     for (uint32_t i = 0; i < admission->tenant_count; i++) {
@@ -52,7 +52,7 @@
             unused += share - admission->tenants[i].active;
     }
     /* Rounded up: then a tenant reaches its whole share, however eager the others are. */
-    return (uint32_t)((unused * KEPT_FREE_PERCENT + 99) / 100);
+    return (uint32_t)((unused * RESERVED_PERCENT + 99) / 100);
 }
 
 bool admission_enter(struct admission *admission, uint32_t tenant)
@@ -62,7 +62,7 @@
     bool within_share = entry->active < admission_share(admission, tenant);
     uint32_t bound = admission->limit;
     if (!within_share)
-        bound -= kept_for_others(admission, tenant);
+        bound -= reserved_for_others(admission, tenant);
     if (admission->active >= bound)
         return false;
     entry->active++;
--- a/src/core/come_back.h
+++ b/src/core/come_back.h
@@ -12,11 +12,11 @@
 #include <stdint.h>
 
 struct come_back_settings {
-    double weight;         /**< of one request in the moving share */
-    double lasting_share;  /**< from this share of refusals on, the wait is the longest */
-    uint32_t least_ms;     /**< wait while hardly anything is refused */
-    uint32_t most_ms;      /**< wait while fullness lasts */
-    uint32_t spread_share; /**< so many hundredths of the wait are added by chance at most */
+    double weight;           /**< of one request in the moving share */
+    double saturation_share; /**< from this share of refusals on, the wait is the longest */
+    uint32_t min_ms;         /**< wait while hardly anything is refused */
+    uint32_t max_ms;         /**< wait while fullness lasts */
+    uint32_t jitter_percent; /**< so many hundredths of the wait are added by chance at most */
 };
 
 struct come_back {
@@ -38,10 +38,10 @@
 static inline uint32_t come_back_ms(const struct come_back *come_back,
                                     const struct come_back_settings *settings, double chance)
 {
-    double lasting = come_back->refused_share / settings->lasting_share;
-    double wait = settings->least_ms;
-    wait += (settings->most_ms - settings->least_ms) * (lasting < 1 ? lasting : 1);
-    wait += wait * settings->spread_share / 100 * chance;
+    double lasting = come_back->refused_share / settings->saturation_share;
+    double wait = settings->min_ms;
+    wait += (settings->max_ms - settings->min_ms) * (lasting < 1 ? lasting : 1);
+    wait += wait * settings->jitter_percent / 100 * chance;
     return (uint32_t)wait;
 }
 
--- a/src/core/event_stream.c
+++ b/src/core/event_stream.c
@@ -39,7 +39,7 @@
     return 0;
 }
 
-static void keep_id(struct event_stream *stream, const char *event, size_t size)
+static void record_last_id(struct event_stream *stream, const char *event, size_t size)
 {
     for (size_t line = 0; line < size;) {
         const char *end = memchr(event + line, '\n', size - line);
@@ -68,7 +68,7 @@
     uint32_t events = 0;
     buffer_append(&stream->partial, bytes, size);
     for (size_t length = event_length(stream); length; length = event_length(stream)) {
-        keep_id(stream, stream->partial.data, length);
+        record_last_id(stream, stream->partial.data, length);
         buffer_append(whole, stream->partial.data, length);
         buffer_consume(&stream->partial, length);
         stream->scanned = 0;
--- a/src/core/executor.c
+++ b/src/core/executor.c
@@ -376,7 +376,7 @@
                          const Shuntrun__Forward *forward)
 {
     note_time(executor, now);
-    if (!replay_guard_enter(&executor->guard, forward->gateway_incarnation, forward->sequence))
+    if (!replay_guard_accept(&executor->guard, forward->gateway_incarnation, forward->sequence))
         return; /* came before: the first one is or will be answered */
     const char *problem = misdirected(executor, forward);
     if (problem) {
@@ -417,7 +417,7 @@
 /* Keep the tokens of a run under a key, up to a little more than can be kept. */
 static void collect(struct run *run, const uint8_t *data, size_t size)
 {
-    if (run->collected_size > KEY_MAX_ANSWER)
+    if (run->collected_size > KEY_MAX_ANSWER_SIZE)
         return;
     run->collected = memory_resize(run->collected, run->collected_size + size);
     memcpy(run->collected + run->collected_size, data, size);
--- a/src/core/key_table.c
+++ b/src/core/key_table.c
@@ -93,7 +93,7 @@
                       size_t size)
 {
     entry->state = state;
-    entry->answer_kept = state == KEY_DONE && size <= KEY_MAX_ANSWER;
+    entry->answer_kept = state == KEY_DONE && size <= KEY_MAX_ANSWER_SIZE;
     if (entry->answer_kept) {
         entry->answer = memory_copy(answer, size);
         entry->answer_size = size;
--- a/src/core/key_table.h
+++ b/src/core/key_table.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 #define KEY_MAX_LENGTH 1024
-#define KEY_MAX_ANSWER (64 * 1024) /**< a longer answer is not kept; its repeat is told so */
+#define KEY_MAX_ANSWER_SIZE (64 * 1024) /**< a longer answer is not kept; its repeat is told so */
 
 enum key_state {
     KEY_RUNNING,
--- a/src/core/place_wait.h
+++ b/src/core/place_wait.h
@@ -15,7 +15,7 @@
  * \param until time up to which a request may wait for a place
  * \return whether it is refused
  */
-static inline bool place_wait_is_over(enum backend_absence absence, uint64_t backoff_end,
+static inline bool place_wait_refuses(enum backend_absence absence, uint64_t backoff_end,
                                       uint64_t until, uint64_t now)
 {
     if (now >= until)
--- a/src/core/repeat_budget.c
+++ b/src/core/repeat_budget.c
@@ -13,32 +13,32 @@
     budget->started = now;
 }
 
-static uint64_t step_us(const struct repeat_budget *budget)
+static uint64_t bucket_us(const struct repeat_budget *budget)
 {
-    uint64_t length = budget->settings.window_us / REPEAT_BUDGET_STEPS;
+    uint64_t length = budget->settings.window_us / REPEAT_BUDGET_BUCKETS;
     return length ? length : 1;
 }
 
 static void advance(struct repeat_budget *budget, uint64_t now)
 {
-    uint64_t step = now / step_us(budget);
-    if (step <= budget->step)
+    uint64_t bucket = now / bucket_us(budget);
+    if (bucket <= budget->bucket)
         return;
-    uint64_t passed = step - budget->step;
-    if (passed > REPEAT_BUDGET_STEPS + 1)
-        passed = REPEAT_BUDGET_STEPS + 1;
-    for (uint64_t i = 0; i < passed; i++) {
-        uint32_t place = (uint32_t)((step - i) % (REPEAT_BUDGET_STEPS + 1));
-        budget->requests[place] = 0;
-        budget->repeats[place] = 0;
+    uint64_t elapsed = bucket - budget->bucket;
+    if (elapsed > REPEAT_BUDGET_BUCKETS + 1)
+        elapsed = REPEAT_BUDGET_BUCKETS + 1;
+    for (uint64_t i = 0; i < elapsed; i++) {
+        uint32_t index = (uint32_t)((bucket - i) % (REPEAT_BUDGET_BUCKETS + 1));
+        budget->requests[index] = 0;
+        budget->repeats[index] = 0;
     }
-    budget->step = step;
+    budget->bucket = bucket;
 }
 
-static uint32_t sum(const uint32_t counts[REPEAT_BUDGET_STEPS + 1])
+static uint32_t sum(const uint32_t counts[REPEAT_BUDGET_BUCKETS + 1])
 {
     uint32_t total = 0;
-    for (uint32_t i = 0; i <= REPEAT_BUDGET_STEPS; i++)
+    for (uint32_t i = 0; i <= REPEAT_BUDGET_BUCKETS; i++)
         total += counts[i];
     return total;
 }
@@ -46,17 +46,17 @@
 void repeat_budget_earn(struct repeat_budget *budget, uint64_t now)
 {
     advance(budget, now);
-    budget->requests[budget->step % (REPEAT_BUDGET_STEPS + 1)]++;
+    budget->requests[budget->bucket % (REPEAT_BUDGET_BUCKETS + 1)]++;
 }
 
 bool repeat_budget_allows(struct repeat_budget *budget, uint64_t now, uint32_t gateways)
 {
     advance(budget, now);
-    double part = 1.0;
+    double share = 1.0;
     if (now < budget->started + budget->settings.window_us)
         /* What an earlier life of this process spent is not known: begin with half. */
-        part = 0.5;
-    double allowance = part * budget->settings.allowance / (gateways ? gateways : 1);
+        share = 0.5;
+    double allowance = share * budget->settings.allowance / (gateways ? gateways : 1);
     double bound = USED_SHARE * (budget->settings.ratio * sum(budget->requests) + allowance);
     return sum(budget->repeats) + 1 <= bound;
 }
@@ -65,6 +65,6 @@
 {
     if (!repeat_budget_allows(budget, now, gateways))
         return false;
-    budget->repeats[budget->step % (REPEAT_BUDGET_STEPS + 1)]++;
+    budget->repeats[budget->bucket % (REPEAT_BUDGET_BUCKETS + 1)]++;
     return true;
 }
--- a/src/core/repeat_budget.h
+++ b/src/core/repeat_budget.h
@@ -12,7 +12,7 @@
 #include <stdint.h>
 
 /** The window is counted in this many steps, and one step more than the window is kept. */
-#define REPEAT_BUDGET_STEPS 20
+#define REPEAT_BUDGET_BUCKETS 20
 
 struct repeat_budget_settings {
     double ratio;       /**< repeats for each request of the window */
@@ -22,9 +22,9 @@
 
 struct repeat_budget {
     struct repeat_budget_settings settings;
-    uint64_t step; /**< number of the present step */
-    uint32_t requests[REPEAT_BUDGET_STEPS + 1];
-    uint32_t repeats[REPEAT_BUDGET_STEPS + 1];
+    uint64_t bucket; /**< number of the present step */
+    uint32_t requests[REPEAT_BUDGET_BUCKETS + 1];
+    uint32_t repeats[REPEAT_BUDGET_BUCKETS + 1];
     uint64_t started; /**< time of the first use; the allowance grows over the first window */
 };
 
--- a/src/core/replay_guard.c
+++ b/src/core/replay_guard.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static struct replay_window *window_of(struct replay_guard *guard, uint64_t incarnation)
+static struct replay_window *find_or_add_window(struct replay_guard *guard, uint64_t incarnation)
 {
     struct replay_window *oldest = guard->windows;
     for (uint32_t i = 0; i < guard->count; i++) {
@@ -16,7 +16,7 @@
         if (window->last_used < oldest->last_used)
             oldest = window;
     }
-    if (guard->count < REPLAY_GUARD_GATEWAYS) {
+    if (guard->count < REPLAY_GUARD_MAX_GATEWAYS) {
         guard->windows = memory_resize(guard->windows, (guard->count + 1) * sizeof *guard->windows);
         oldest = &guard->windows[guard->count++];
     }
@@ -26,22 +26,22 @@
 
 static void advance(struct replay_window *window, uint64_t sequence)
 {
-    if (sequence - window->greatest >= REPLAY_GUARD_WINDOW) {
+    if (sequence - window->highest >= REPLAY_GUARD_WINDOW) {
         memset(window->seen, 0, sizeof window->seen);
     } else {
-        for (uint64_t passed = window->greatest + 1; passed <= sequence; passed++)
+        for (uint64_t passed = window->highest + 1; passed <= sequence; passed++)
             bitmap_clear(window->seen, passed % REPLAY_GUARD_WINDOW);
     }
-    window->greatest = sequence;
+    window->highest = sequence;
 }
 
-bool replay_guard_enter(struct replay_guard *guard, uint64_t incarnation, uint64_t sequence)
+bool replay_guard_accept(struct replay_guard *guard, uint64_t incarnation, uint64_t sequence)
 {
-    struct replay_window *window = window_of(guard, incarnation);
+    struct replay_window *window = find_or_add_window(guard, incarnation);
     window->last_used = ++guard->uses;
-    if (sequence > window->greatest)
+    if (sequence > window->highest)
         advance(window, sequence);
-    else if (window->greatest - sequence >= REPLAY_GUARD_WINDOW)
+    else if (window->highest - sequence >= REPLAY_GUARD_WINDOW)
         return false;
     else if (bitmap_get(window->seen, sequence % REPLAY_GUARD_WINDOW))
         return false;
--- a/src/core/replay_guard.h
+++ b/src/core/replay_guard.h
@@ -8,14 +8,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define REPLAY_GUARD_GATEWAYS 512
+#define REPLAY_GUARD_MAX_GATEWAYS 512
 #define REPLAY_GUARD_WINDOW                                                                        \
     1024 /**< sequence numbers below the greatest one that are told apart                          \
           */
 
 struct replay_window {
     uint64_t incarnation;
-    uint64_t greatest;
+    uint64_t highest;
     uint64_t last_used;
     uint64_t seen[REPLAY_GUARD_WINDOW / 64]; /**< by sequence modulo the window */
 };
@@ -27,7 +27,7 @@
 };
 
 /** \return true when this is the first time, and remember it */
-bool replay_guard_enter(struct replay_guard *guard, uint64_t incarnation, uint64_t sequence);
+bool replay_guard_accept(struct replay_guard *guard, uint64_t incarnation, uint64_t sequence);
 void replay_guard_clear(struct replay_guard *guard);
 
 #endif
--- a/src/core/request_identity.c
+++ b/src/core/request_identity.c
@@ -46,7 +46,7 @@
 }
 
 /* \return the value of a digit, or -1 */
-static int digit_of(char digit)
+static int hex_digit_value(char digit)
 {
     if (digit >= '0' && digit <= '9')
         return digit - '0';
@@ -58,8 +58,8 @@
     if (strlen(hex) != REQUEST_IDENTITY_HEX_SIZE - 1)
         return false;
     for (size_t i = 0; i < REQUEST_IDENTITY_SIZE; i++) {
-        int high = digit_of(hex[2 * i]);
-        int low = digit_of(hex[2 * i + 1]);
+        int high = hex_digit_value(hex[2 * i]);
+        int low = hex_digit_value(hex[2 * i + 1]);
         if (high < 0 || low < 0)
             return false;
         identity->bytes[i] = (uint8_t)(16 * high + low);
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -7,8 +7,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RETRY_BUDGET_COST 100   /**< one retry in hundredths */
-#define RETRY_BUDGET_MOST 10000 /**< retries saved up at most, in hundredths: 100 */
+#define RETRY_BUDGET_COST 100  /**< one retry in hundredths */
+#define RETRY_BUDGET_MAX 10000 /**< retries saved up at most, in hundredths: 100 */
 
 struct retry_budget {
     uint32_t percent; /**< retries for each hundred requests */
@@ -18,15 +18,15 @@
 static inline void retry_budget_init(struct retry_budget *budget, uint32_t percent)
 {
     budget->percent = percent;
-    budget->saved = percent ? RETRY_BUDGET_MOST / 10 : 0;
+    budget->saved = percent ? RETRY_BUDGET_MAX / 10 : 0;
 }
 
 /** \brief Count one new request. */
 static inline void retry_budget_earn(struct retry_budget *budget)
 {
     budget->saved += budget->percent;
-    if (budget->saved > RETRY_BUDGET_MOST)
-        budget->saved = RETRY_BUDGET_MOST;
+    if (budget->saved > RETRY_BUDGET_MAX)
+        budget->saved = RETRY_BUDGET_MAX;
 }
 
 /** \return false when no retry may be made now */
--- a/src/core/stream_length.h
+++ b/src/core/stream_length.h
@@ -15,29 +15,29 @@
 /** Moving sums; all 0 before the first stream. */
 struct stream_length {
     double streams;
-    double time_us;         /**< of all streams */
-    double guessed_tokens;  /**< of streams with a guess */
-    double guessed_time_us; /**< of the same streams */
+    double time_us;        /**< of all streams */
+    double hinted_tokens;  /**< of streams with a guess */
+    double hinted_time_us; /**< of the same streams */
 };
 
 /** \brief A stream ended whole. \param guess of its client, tokens; 0: none */
-static inline void stream_length_learn(struct stream_length *length, uint32_t guess,
-                                       uint64_t time_us)
+static inline void stream_length_record(struct stream_length *length, uint32_t hint,
+                                        uint64_t time_us)
 {
-    double kept = 1 - STREAM_LENGTH_WEIGHT;
-    length->streams = length->streams * kept + 1;
-    length->time_us = length->time_us * kept + (double)time_us;
-    if (!guess)
+    double decay = 1 - STREAM_LENGTH_WEIGHT;
+    length->streams = length->streams * decay + 1;
+    length->time_us = length->time_us * decay + (double)time_us;
+    if (!hint)
         return;
-    length->guessed_tokens = length->guessed_tokens * kept + guess;
-    length->guessed_time_us = length->guessed_time_us * kept + (double)time_us;
+    length->hinted_tokens = length->hinted_tokens * decay + hint;
+    length->hinted_time_us = length->hinted_time_us * decay + (double)time_us;
 }
 
 /** \return time from the send of a stream to its end, microseconds; 0: not known */
-static inline uint64_t stream_length_expect(const struct stream_length *length, uint32_t guess)
+static inline uint64_t stream_length_expected_us(const struct stream_length *length, uint32_t hint)
 {
-    if (guess && length->guessed_tokens > 0)
-        return (uint64_t)(guess * length->guessed_time_us / length->guessed_tokens);
+    if (hint && length->hinted_tokens > 0)
+        return (uint64_t)(hint * length->hinted_time_us / length->hinted_tokens);
     return length->streams > 0 ? (uint64_t)(length->time_us / length->streams) : 0;
 }
 
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -152,7 +152,7 @@
  * meanwhile is not read yet: connections that seem to be silent get until the next tick. */
 static void sweep_connections(struct edge *edge, uint64_t now)
 {
-    bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + OWN_PAUSE_US;
+    bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + PROCESS_STALL_US;
     edge->last_tick = now;
     if (paused)
         return;
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -43,8 +43,8 @@
         .refusals = exchange->refusals,
         .backoffs = exchange->backoffs,
         .ended = count_ended(exchange),
-        .most = exchange->route->attempts,
-        .time_left = exchange->final_at > now ? exchange->final_at - now : 0,
+        .max_attempts = exchange->route->attempts,
+        .time_left_us = exchange->final_at > now ? exchange->final_at - now : 0,
     };
 }
 
@@ -96,7 +96,7 @@
 }
 
 static void log_silence(const struct exchange *exchange, uint64_t now, uint64_t late, bool others,
-                        enum silence_verdict verdict)
+                        enum silence_action verdict)
 {
     log_event(LOG_LEVEL_WARN, "request", "silent",
               "request=%s backend=%s silence_ms=%" PRIu64 " timer_late_ms=%" PRIu64
@@ -104,7 +104,7 @@
               exchange->head.id, exchange->backend->listing.id, (now - heard_at(exchange)) / MS_US,
               late / MS_US, upstream_is_sent(exchange->upstream), exchange->sends,
               exchange->refusals, exchange->events.events, others,
-              verdict == SILENCE_LEAVES ? "leave" : "stay");
+              verdict == SILENCE_LEAVE ? "leave" : "stay");
 }
 
 static void leave_silent(struct exchange *exchange)
@@ -126,15 +126,16 @@
     struct attempt_facts facts = exchange_facts(exchange, now);
     uint64_t heard_after = exchange->streaming ? now - OTHER_HEARD_US : 0;
     bool others = exchange_has_other(exchange, heard_after);
-    enum silence_verdict verdict = silence_judge(&facts, late, others);
-    if (verdict == SILENCE_LEAVES || !exchange->bear_until)
+    enum silence_action verdict = silence_choose_action(&facts, late, others);
+    if (verdict == SILENCE_LEAVE || !exchange->bear_until)
         log_silence(exchange, now, late, others, verdict);
-    if (verdict == SILENCE_LEAVES) {
+    if (verdict == SILENCE_LEAVE) {
         exchange->heard_after = heard_after;
         leave_silent(exchange);
         return;
     }
-    exchange->bear_until = now + (late > OWN_PAUSE_US ? silence_limit(exchange) : SILENCE_LOOK_US);
+    exchange->bear_until =
+        now + (late > PROCESS_STALL_US ? silence_limit(exchange) : SILENCE_LOOK_US);
     exchange_arm(exchange);
 }
 
@@ -243,7 +244,7 @@
     exchange->state_of_service = edge_service(edge, exchange->service->name);
     set_times(exchange);
     struct caller_times *times = edge_route_times(edge, route->name);
-    exchange->returned = times && caller_returns(times, head->deadline_ms, exchange->arrived);
+    exchange->returned = times && caller_is_returning(times, head->deadline_ms, exchange->arrived);
     uv_timer_init(edge->loop, &exchange->timer);
     exchange->timer.data = exchange;
     edge->active++;
--- a/src/edge/exchange_answer.c
+++ b/src/edge/exchange_answer.c
@@ -114,8 +114,8 @@
     if (!exchange->streaming)
         begin_stream(exchange, message);
     if (!exchange->resuming)
-        stream_length_learn(&exchange->state_of_service->stream_length, exchange->head.tokens_guess,
-                            cluster_now() - exchange->sent_at);
+        stream_length_record(&exchange->state_of_service->stream_length,
+                             exchange->head.tokens_guess, cluster_now() - exchange->sent_at);
     exchange_end_attempt(exchange, BACKEND_SUCCEEDED);
     exchange_ran_well(exchange);
     count_done(exchange->edge);
@@ -159,7 +159,7 @@
 {
     struct attempt_facts facts = exchange_facts(exchange, cluster_now());
     facts.may_have_run = true;
-    return status >= FIRST_SERVER_ERROR && attempt_may_follow(&facts) &&
+    return status >= FIRST_SERVER_ERROR && attempt_may_retry(&facts) &&
            exchange_has_other(exchange, 0);
 }
 
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -19,7 +19,7 @@
 /** When engines are full. The share moves with some second of requests; a fifth refused means that
  *  engines will be full for a while. */
 static const struct come_back_settings full_settings = {
-    .weight = 0.05, .lasting_share = 0.2, .least_ms = 500, .most_ms = 1200, .spread_share = 65};
+    .weight = 0.05, .saturation_share = 0.2, .min_ms = 500, .max_ms = 1200, .jitter_percent = 65};
 
 /* What a caller reads whose request crashes back ends. There is no time to come back: it would
  * crash the next one too. */
@@ -222,7 +222,7 @@
 {
     come_back_count(&exchange->state_of_service->come_back, &full_settings, !found);
     if (!exchange->returned)
-        overload_count(&exchange->state_of_service->overload, !found, cluster_now());
+        overload_record(&exchange->state_of_service->overload, !found, cluster_now());
 }
 
 static uint32_t retry_after_ms(struct exchange *exchange)
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -54,8 +54,8 @@
 {
     if (exchange->route->kind != ROUTE_STREAM || exchange->resuming)
         return 0;
-    return stream_length_expect(&exchange->state_of_service->stream_length,
-                                exchange->head.tokens_guess);
+    return stream_length_expected_us(&exchange->state_of_service->stream_length,
+                                     exchange->head.tokens_guess);
 }
 
 static void fill_wish(struct exchange *exchange, uint64_t now, struct backend_wish *wish)
@@ -198,7 +198,7 @@
     }
     exchange->in_doubt = false;
     struct attempt_facts facts = exchange_facts(exchange, now);
-    if (attempt_may_follow(&facts))
+    if (attempt_may_retry(&facts))
         return true;
     exchange_give_up_truly(exchange, exchange->doubt_reason);
     return false;
@@ -255,14 +255,14 @@
 static bool is_given_up(struct exchange *exchange, enum backend_absence absence, uint64_t now)
 {
     uint64_t backoff_end = absence == BACKEND_NONE ? exchange_backoff_end(exchange, now) : 0;
-    if (!place_wait_is_over(absence, backoff_end, exchange->wait_until, now) &&
+    if (!place_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
         exchange->tried_count < BACKEND_MAX_EXCLUDED)
         return false;
     exchange->no_backend = absence == BACKEND_NONE && !exchange->tried_count;
     if (absence == BACKEND_FULL && !exchange->held)
         exchange_count_place(exchange, false);
     else if (absence == BACKEND_NONE)
-        overload_absent(&exchange->state_of_service->overload);
+        overload_reset(&exchange->state_of_service->overload);
     exchange_give_up_truly(exchange, end_without_place(exchange, absence, backoff_end));
     return true;
 }
@@ -283,7 +283,7 @@
     }
     if (is_given_up(exchange, absence, now))
         return;
-    if (exchange->returned && overload_lasts(&exchange->state_of_service->overload, now))
+    if (exchange->returned && overload_is_sustained(&exchange->state_of_service->overload, now))
         wait_apart(exchange, now);
     else
         exchange_wait_in_line(exchange);
@@ -380,10 +380,10 @@
 {
     uint64_t now = cluster_now();
     struct attempt_facts facts = exchange_facts(exchange, now);
-    exchange->in_doubt = exchange->streaming && !attempt_may_follow(&facts) &&
+    exchange->in_doubt = exchange->streaming && !attempt_may_retry(&facts) &&
                          crash_watch_is_checking(exchange->edge, exchange_last_tried(exchange));
     exchange->doubt_reason = reason;
-    if ((!attempt_may_follow(&facts) && !exchange->in_doubt) ||
+    if ((!attempt_may_retry(&facts) && !exchange->in_doubt) ||
         (!exchange->streaming && !may_repeat(exchange, now))) {
         exchange_give_up_truly(exchange, reason);
         return;
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -7,7 +7,7 @@
 #include "cluster/crash_page.h"
 #include "cluster/process.h"
 #include "core/hash.h"
-#include "core/start_turn.h"
+#include "core/staggered_start.h"
 #include "loader/wanted_versions.h"
 #include "net/http_caller.h"
 
@@ -30,7 +30,8 @@
 /** Ages in messages leave so much open. */
 #define SAME_TIME_US 50000
 
-static const struct start_turn_settings turn_settings = {.first_us = 2000000, .last_us = 6800000};
+static const struct staggered_start_settings turn_settings = {.first_us = 2000000,
+                                                              .last_us = 6800000};
 
 struct loader {
     struct process process;
@@ -85,9 +86,9 @@
     if (!loader->report.load.version)
         return 0; /* an empty engine does nothing else: at once */
     uint32_t position = own_position(loader, &count);
-    return start_turn(&turn_settings,
-                      wanted_versions_named_at(&loader->versions, loader->report.load.version),
-                      position, count);
+    return staggered_start_at(
+        &turn_settings, wanted_versions_named_at(&loader->versions, loader->report.load.version),
+        position, count);
 }
 
 /* --- the engine's load ---------------------------------------------------------------------------
--- a/tests/core/come_back_test.c
+++ b/tests/core/come_back_test.c
@@ -4,7 +4,7 @@
 #include "core/come_back.h"
 
 static const struct come_back_settings settings = {
-    .weight = 0.1, .lasting_share = 0.2, .least_ms = 500, .most_ms = 1200, .spread_share = 60};
+    .weight = 0.1, .saturation_share = 0.2, .min_ms = 500, .max_ms = 1200, .jitter_percent = 60};
 
 static void count(struct come_back *come_back, uint32_t requests, uint32_t refused)
 {
@@ -12,7 +12,7 @@
         come_back_count(come_back, &settings, i < refused);
 }
 
-static void a_moment_of_fullness_is_over_soon(void **state)
+static void short_saturation_gives_a_short_delay(void **state)
 {
     struct come_back come_back = {0};
     assert_int_equal(come_back_ms(&come_back, &settings, 0), 500);
@@ -22,14 +22,14 @@
     assert_in_range(come_back_ms(&come_back, &settings, 0), 500, 505);
 }
 
-static void lasting_fullness_means_a_long_wait(void **state)
+static void sustained_saturation_gives_the_longest_delay(void **state)
 {
     struct come_back come_back = {0};
     count(&come_back, 10, 10);
     assert_int_equal(come_back_ms(&come_back, &settings, 0), 1200);
 }
 
-static void clients_do_not_all_come_back_at_once(void **state)
+static void jitter_spreads_clients(void **state)
 {
     struct come_back come_back = {0};
     assert_int_equal(come_back_ms(&come_back, &settings, 0.5), 650);
@@ -40,9 +40,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_moment_of_fullness_is_over_soon),
-        cmocka_unit_test(lasting_fullness_means_a_long_wait),
-        cmocka_unit_test(clients_do_not_all_come_back_at_once),
+        cmocka_unit_test(short_saturation_gives_a_short_delay),
+        cmocka_unit_test(sustained_saturation_gives_the_longest_delay),
+        cmocka_unit_test(jitter_spreads_clients),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/event_stream_test.c
+++ b/tests/core/event_stream_test.c
@@ -7,13 +7,13 @@
 
 static const char events[] = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
 
-static void feed_in_steps(size_t step)
+static void feed_in_chunks(size_t chunk_size)
 {
     struct event_stream stream = {0};
     struct buffer whole = {0};
-    for (size_t place = 0; place < strlen(events); place += step) {
-        size_t rest = strlen(events) - place;
-        event_stream_feed(&stream, events + place, rest < step ? rest : step, &whole);
+    for (size_t offset = 0; offset < strlen(events); offset += chunk_size) {
+        size_t rest = strlen(events) - offset;
+        event_stream_feed(&stream, events + offset, rest < chunk_size ? rest : chunk_size, &whole);
     }
     assert_int_equal(stream.events, 3);
     assert_int_equal(whole.size, strlen(events));
@@ -24,13 +24,13 @@
     event_stream_clear(&stream);
 }
 
-static void events_are_the_same_however_their_bytes_come(void **state)
+static void events_are_split_for_any_chunking(void **state)
 {
-    for (size_t step = 1; step < strlen(events); step++)
-        feed_in_steps(step);
+    for (size_t chunk_size = 1; chunk_size < strlen(events); chunk_size++)
+        feed_in_chunks(chunk_size);
 }
 
-static void a_torn_event_is_kept_back(void **state)
+static void partial_event_is_held_back(void **state)
 {
     struct event_stream stream = {0};
     struct buffer whole = {0};
@@ -47,8 +47,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(events_are_the_same_however_their_bytes_come),
-        cmocka_unit_test(a_torn_event_is_kept_back),
+        cmocka_unit_test(events_are_split_for_any_chunking),
+        cmocka_unit_test(partial_event_is_held_back),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/limits_test.c
+++ b/tests/core/limits_test.c
@@ -11,7 +11,7 @@
 
 static const struct tenant_config tenants[] = {{"large", 90, 0}, {"small", 10, 0}};
 
-static void a_large_tenant_cannot_starve_a_small_one(void **state)
+static void large_tenant_cannot_starve_a_small_one(void **state)
 {
     struct admission admission = {0};
     admission_configure(&admission, 100, tenants, 2);
@@ -39,7 +39,7 @@
     admission_clear(&admission);
 }
 
-static void counts_outlive_a_new_configuration(void **state)
+static void active_counts_survive_reconfiguration(void **state)
 {
     static const struct tenant_config other[] = {{"small", 1, 0}, {"new", 1, 0}};
     struct admission admission = {0};
@@ -52,7 +52,7 @@
     admission_clear(&admission);
 }
 
-static void retries_are_a_bounded_share(void **state)
+static void retries_stay_within_the_budget(void **state)
 {
     struct retry_budget budget;
     retry_budget_init(&budget, 10);
@@ -64,31 +64,31 @@
     assert_true(retries >= 100 && retries <= 110);
 }
 
-static void a_sequence_enters_once(void **state)
+static void sequence_is_accepted_once(void **state)
 {
     struct replay_guard guard = {0};
-    assert_true(replay_guard_enter(&guard, 1, 5));
-    assert_true(replay_guard_enter(&guard, 1, 3));
-    assert_false(replay_guard_enter(&guard, 1, 5));
-    assert_true(replay_guard_enter(&guard, 2, 5));
-    assert_true(replay_guard_enter(&guard, 1, 5 + REPLAY_GUARD_WINDOW));
-    assert_false(replay_guard_enter(&guard, 1, 5)); /* too old to tell */
-    assert_true(replay_guard_enter(&guard, 1, 6));
-    assert_true(replay_guard_enter(&guard, 1, 100000));
-    assert_false(replay_guard_enter(&guard, 1, 7));
+    assert_true(replay_guard_accept(&guard, 1, 5));
+    assert_true(replay_guard_accept(&guard, 1, 3));
+    assert_false(replay_guard_accept(&guard, 1, 5));
+    assert_true(replay_guard_accept(&guard, 2, 5));
+    assert_true(replay_guard_accept(&guard, 1, 5 + REPLAY_GUARD_WINDOW));
+    assert_false(replay_guard_accept(&guard, 1, 5)); /* too old to tell */
+    assert_true(replay_guard_accept(&guard, 1, 6));
+    assert_true(replay_guard_accept(&guard, 1, 100000));
+    assert_false(replay_guard_accept(&guard, 1, 7));
     replay_guard_clear(&guard);
 }
 
-static void the_guard_is_bounded(void **state)
+static void guard_memory_is_bounded(void **state)
 {
     struct replay_guard guard = {0};
-    for (uint64_t gateway = 1; gateway <= 2 * REPLAY_GUARD_GATEWAYS; gateway++)
-        assert_true(replay_guard_enter(&guard, gateway, 1));
-    assert_int_equal(guard.count, REPLAY_GUARD_GATEWAYS);
+    for (uint64_t gateway = 1; gateway <= 2 * REPLAY_GUARD_MAX_GATEWAYS; gateway++)
+        assert_true(replay_guard_accept(&guard, gateway, 1));
+    assert_int_equal(guard.count, REPLAY_GUARD_MAX_GATEWAYS);
     replay_guard_clear(&guard);
 }
 
-static void tickets_survive_their_text(void **state)
+static void ticket_round_trips_through_text(void **state)
 {
     struct ticket ticket = {.homes_hash = 0xabc, .home_count = 2};
     struct ticket read;
@@ -108,12 +108,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_large_tenant_cannot_starve_a_small_one),
-        cmocka_unit_test(counts_outlive_a_new_configuration),
-        cmocka_unit_test(retries_are_a_bounded_share),
-        cmocka_unit_test(a_sequence_enters_once),
-        cmocka_unit_test(the_guard_is_bounded),
-        cmocka_unit_test(tickets_survive_their_text),
+        cmocka_unit_test(large_tenant_cannot_starve_a_small_one),
+        cmocka_unit_test(active_counts_survive_reconfiguration),
+        cmocka_unit_test(retries_stay_within_the_budget),
+        cmocka_unit_test(sequence_is_accepted_once),
+        cmocka_unit_test(guard_memory_is_bounded),
+        cmocka_unit_test(ticket_round_trips_through_text),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/overload_test.c
+++ b/tests/core/overload_test.c
@@ -8,83 +8,83 @@
 #define GAP_US (10 * MS_US)
 
 /* New callers at 100 a second, of which so many in ten are refused. \return the time after them */
-static uint64_t come(struct overload *overload, uint32_t callers, uint32_t refused_of_ten,
-                     uint64_t now)
+static uint64_t send_callers(struct overload *overload, uint32_t callers, uint32_t refused_of_ten,
+                             uint64_t now)
 {
     for (uint32_t i = 0; i < callers; i++, now += GAP_US)
-        overload_count(overload, i % 10 < refused_of_ten, now);
+        overload_record(overload, i % 10 < refused_of_ten, now);
     return now;
 }
 
-static void overload_lasts_once_it_outlasts_a_return(void **state)
+static void overload_is_sustained_once_longer_than_a_retry_delay(void **state)
 {
     struct overload overload = {0};
-    uint64_t now = come(&overload, 200, 5, 1000 * MS_US);
-    assert_false(overload_lasts(&overload, now)); /* 2 s */
-    now = come(&overload, 300, 5, now);
-    assert_true(overload_lasts(&overload, now));
+    uint64_t now = send_callers(&overload, 200, 5, 1000 * MS_US);
+    assert_false(overload_is_sustained(&overload, now)); /* 2 s */
+    now = send_callers(&overload, 300, 5, now);
+    assert_true(overload_is_sustained(&overload, now));
 }
 
-static void a_few_refusals_are_no_overload(void **state)
+static void few_refusals_are_not_overload(void **state)
 {
     struct overload overload = {0};
-    uint64_t now = come(&overload, 1000, 1, 0);
-    assert_false(overload_lasts(&overload, now));
+    uint64_t now = send_callers(&overload, 1000, 1, 0);
+    assert_false(overload_is_sustained(&overload, now));
 }
 
-static void it_is_over_when_new_callers_find_places(void **state)
+static void overload_ends_when_new_callers_are_served(void **state)
 {
     struct overload overload = {0};
-    uint64_t now = come(&overload, 600, 5, 0);
-    assert_true(overload_lasts(&overload, now));
-    now = come(&overload, 100, 0, now);
-    assert_false(overload_lasts(&overload, now));
-    now = come(&overload, 100, 5, now);
-    assert_false(overload_lasts(&overload, now)); /* it begins anew */
+    uint64_t now = send_callers(&overload, 600, 5, 0);
+    assert_true(overload_is_sustained(&overload, now));
+    now = send_callers(&overload, 100, 0, now);
+    assert_false(overload_is_sustained(&overload, now));
+    now = send_callers(&overload, 100, 5, now);
+    assert_false(overload_is_sustained(&overload, now)); /* it begins anew */
 }
 
-static void back_ends_that_were_absent_are_not_overloaded(void **state)
+static void absent_backends_are_not_overloaded(void **state)
 {
     struct overload overload = {0};
-    uint64_t now = come(&overload, 600, 9, 0);
-    overload_absent(&overload);
-    assert_false(overload_lasts(&overload, now));
-    now = come(&overload, 200, 9, now);
-    assert_false(overload_lasts(&overload, now)); /* what came together is served in 2 s */
+    uint64_t now = send_callers(&overload, 600, 9, 0);
+    overload_reset(&overload);
+    assert_false(overload_is_sustained(&overload, now));
+    now = send_callers(&overload, 200, 9, now);
+    assert_false(overload_is_sustained(&overload, now)); /* what came together is served in 2 s */
 }
 
-static void who_has_less_time_than_others_has_come_back(void **state)
+static void caller_with_less_time_left_is_returning(void **state)
 {
     struct caller_times times = {0};
-    assert_false(caller_returns(&times, 6000, 0));
-    assert_false(caller_returns(&times, 5990, 1));
-    assert_true(caller_returns(&times, 5400, 2));
-    assert_true(caller_returns(&times, 900, 3));
-    assert_false(caller_returns(&times, 0, 4)); /* it does not say */
+    assert_false(caller_is_returning(&times, 6000, 0));
+    assert_false(caller_is_returning(&times, 5990, 1));
+    assert_true(caller_is_returning(&times, 5400, 2));
+    assert_true(caller_is_returning(&times, 900, 3));
+    assert_false(caller_is_returning(&times, 0, 4)); /* it does not say */
 }
 
-static void one_caller_with_much_time_is_forgotten(void **state)
+static void long_deadline_of_one_caller_expires(void **state)
 {
     struct caller_times times = {0};
     uint64_t now = 0;
-    caller_returns(&times, 60000, now);
-    assert_true(caller_returns(&times, 6000, now + 1));
+    caller_is_returning(&times, 60000, now);
+    assert_true(caller_is_returning(&times, 6000, now + 1));
     for (int span = 0; span < 2; span++) {
-        now += CALLER_RETURN_SPAN_US;
-        caller_returns(&times, 6000, now);
+        now += CALLER_RETURN_WINDOW_US;
+        caller_is_returning(&times, 6000, now);
     }
-    assert_false(caller_returns(&times, 6000, now + 1));
+    assert_false(caller_is_returning(&times, 6000, now + 1));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(overload_lasts_once_it_outlasts_a_return),
-        cmocka_unit_test(a_few_refusals_are_no_overload),
-        cmocka_unit_test(it_is_over_when_new_callers_find_places),
-        cmocka_unit_test(back_ends_that_were_absent_are_not_overloaded),
-        cmocka_unit_test(who_has_less_time_than_others_has_come_back),
-        cmocka_unit_test(one_caller_with_much_time_is_forgotten),
+        cmocka_unit_test(overload_is_sustained_once_longer_than_a_retry_delay),
+        cmocka_unit_test(few_refusals_are_not_overload),
+        cmocka_unit_test(overload_ends_when_new_callers_are_served),
+        cmocka_unit_test(absent_backends_are_not_overloaded),
+        cmocka_unit_test(caller_with_less_time_left_is_returning),
+        cmocka_unit_test(long_deadline_of_one_caller_expires),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/place_wait_test.c
+++ b/tests/core/place_wait_test.c
@@ -3,30 +3,30 @@
 
 #include "core/place_wait.h"
 
-static void a_request_waits_for_a_place_while_back_ends_are_full(void **state)
+static void request_waits_while_backends_are_full(void **state)
 {
-    assert_false(place_wait_is_over(BACKEND_FULL, 0, 100, 10));
-    assert_true(place_wait_is_over(BACKEND_FULL, 0, 100, 100));
+    assert_false(place_wait_refuses(BACKEND_FULL, 0, 100, 10));
+    assert_true(place_wait_refuses(BACKEND_FULL, 0, 100, 100));
 }
 
-static void a_request_that_no_back_end_can_take_is_refused_at_once(void **state)
+static void request_without_usable_backend_is_refused(void **state)
 {
-    assert_true(place_wait_is_over(BACKEND_NONE, 0, 100, 10));
+    assert_true(place_wait_refuses(BACKEND_NONE, 0, 100, 10));
 }
 
-static void a_request_waits_for_a_back_end_that_wants_requests_again_in_time(void **state)
+static void request_waits_for_a_backoff_that_ends_in_time(void **state)
 {
-    assert_false(place_wait_is_over(BACKEND_NONE, 50, 100, 10));
-    assert_true(place_wait_is_over(BACKEND_NONE, 100, 100, 10));
-    assert_true(place_wait_is_over(BACKEND_NONE, 50, 100, 100));
+    assert_false(place_wait_refuses(BACKEND_NONE, 50, 100, 10));
+    assert_true(place_wait_refuses(BACKEND_NONE, 100, 100, 10));
+    assert_true(place_wait_refuses(BACKEND_NONE, 50, 100, 100));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_request_waits_for_a_place_while_back_ends_are_full),
-        cmocka_unit_test(a_request_that_no_back_end_can_take_is_refused_at_once),
-        cmocka_unit_test(a_request_waits_for_a_back_end_that_wants_requests_again_in_time),
+        cmocka_unit_test(request_waits_while_backends_are_full),
+        cmocka_unit_test(request_without_usable_backend_is_refused),
+        cmocka_unit_test(request_waits_for_a_backoff_that_ends_in_time),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/repeat_budget_test.c
+++ b/tests/core/repeat_budget_test.c
@@ -19,7 +19,7 @@
     uint32_t repeats[SECONDS * 100];
 };
 
-static void play(struct counts *counts, uint64_t seed, bool bursts)
+static void run_gateways(struct counts *counts, uint64_t seed, bool bursts)
 {
     struct repeat_budget budgets[GATEWAYS];
     struct random_stream random = {seed, 0};
@@ -50,17 +50,17 @@
     }
 }
 
-static void no_window_of_all_gateways_passes_the_bound(void **state)
+static void all_gateways_together_keep_the_bound_in_any_window(void **state)
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         struct counts *counts = calloc(1, sizeof *counts);
-        play(counts, seed, seed % 2 == 0);
+        run_gateways(counts, seed, seed % 2 == 0);
         check_windows(counts);
         free(counts);
     }
 }
 
-static void an_idle_gateway_may_repeat_a_little(void **state)
+static void idle_gateway_may_spend_its_allowance(void **state)
 {
     struct repeat_budget budget;
     uint64_t now = 50 * SECOND_US;
@@ -76,8 +76,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(no_window_of_all_gateways_passes_the_bound),
-        cmocka_unit_test(an_idle_gateway_may_repeat_a_little),
+        cmocka_unit_test(all_gateways_together_keep_the_bound_in_any_window),
+        cmocka_unit_test(idle_gateway_may_spend_its_allowance),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/request_identity_test.c
+++ b/tests/core/request_identity_test.c
@@ -22,14 +22,14 @@
     return request_identity_equal(&left_identity, &right_identity);
 }
 
-static void the_same_content_is_the_same_request(void **state)
+static void equal_content_gives_equal_identity(void **state)
 {
     struct request_content first = content_of("studio", "/brief?x=1", "words");
     struct request_content again = content_of("studio", "/brief?x=1", "words");
     assert_true(are_same(&first, &again));
 }
 
-static void each_part_makes_a_difference(void **state)
+static void each_part_changes_the_identity(void **state)
 {
     struct request_content first = content_of("studio", "/brief", "words");
     struct request_content others[] = {
@@ -42,7 +42,7 @@
 }
 
 /* A caller chooses its target and body: neither may move into the caller's place. */
-static void bytes_do_not_move_between_parts(void **state)
+static void parts_are_delimited(void **state)
 {
     struct request_content first = content_of("studio", "/brief", "words");
     struct request_content moved = content_of("studio/", "brief", "words");
@@ -51,7 +51,7 @@
     assert_false(are_same(&first, &longer));
 }
 
-static void hex_shows_all_bytes(void **state)
+static void hex_round_trip_covers_all_bytes(void **state)
 {
     struct request_identity identity = {{0}};
     char hex[REQUEST_IDENTITY_HEX_SIZE];
@@ -64,7 +64,7 @@
     assert_true(request_identity_equal(&read, &identity));
 }
 
-static void what_is_no_identity_is_not_read(void **state)
+static void malformed_hex_is_rejected(void **state)
 {
     static const char *const texts[] = {"", "ab", "ab00000000000000000000000000000g",
                                         "ab0000000000000000000000000000011",
@@ -77,11 +77,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(the_same_content_is_the_same_request),
-        cmocka_unit_test(each_part_makes_a_difference),
-        cmocka_unit_test(bytes_do_not_move_between_parts),
-        cmocka_unit_test(hex_shows_all_bytes),
-        cmocka_unit_test(what_is_no_identity_is_not_read),
+        cmocka_unit_test(equal_content_gives_equal_identity),
+        cmocka_unit_test(each_part_changes_the_identity),
+        cmocka_unit_test(parts_are_delimited),
+        cmocka_unit_test(hex_round_trip_covers_all_bytes),
+        cmocka_unit_test(malformed_hex_is_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/version_bounds_test.c
+++ b/tests/core/version_bounds_test.c
@@ -1,7 +1,7 @@
 /* Versions that may begin work, and turns of engines. */
 #include "testing.h"
 
-#include "core/start_turn.h"
+#include "core/staggered_start.h"
 #include "core/version_bounds.h"
 
 static void each_version_is_enforced_from_its_own_time(void **state)
@@ -30,12 +30,13 @@
 
 static void turns_fill_the_window(void **state)
 {
-    const struct start_turn_settings settings = {.first_us = 100, .last_us = 1000};
-    assert_int_equal(start_turn(&settings, 5000, 0, 1), 5100);
-    assert_int_equal(start_turn(&settings, 5000, 0, 10), 5100);
-    assert_int_equal(start_turn(&settings, 5000, 9, 10), 6000);
+    const struct staggered_start_settings settings = {.first_us = 100, .last_us = 1000};
+    assert_int_equal(staggered_start_at(&settings, 5000, 0, 1), 5100);
+    assert_int_equal(staggered_start_at(&settings, 5000, 0, 10), 5100);
+    assert_int_equal(staggered_start_at(&settings, 5000, 9, 10), 6000);
     for (uint32_t i = 1; i < 10; i++)
-        assert_int_equal(start_turn(&settings, 0, i, 10) - start_turn(&settings, 0, i - 1, 10),
+        assert_int_equal(staggered_start_at(&settings, 0, i, 10) -
+                             staggered_start_at(&settings, 0, i - 1, 10),
                          100);
 }
 
