--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RESERVED_PERCENT 25 /* part of unused shares that others may not borrow */
+#define RESERVED_PERCENT 25 /* part of the unused shares that other tenants cannot borrow */
 
 void admission_configure(struct admission *admission, uint32_t limit,
                          const struct tenant_config *tenants, uint32_t count)
@@ -42,7 +42,7 @@
     return share ? (uint32_t)share : 1;
 }
 
-/* Slots kept free for other tenants that are below their shares. */
+/* Slots reserved for other tenants that are below their shares. */
 static uint32_t reserved_for_others(const struct admission *admission, uint32_t tenant)
 {
     uint64_t unused = 0;
@@ -51,7 +51,7 @@
         if (i != tenant && admission->tenants[i].active < share)
             unused += share - admission->tenants[i].active;
     }
-    /* Rounded up: then a tenant reaches its whole share, however eager the others are. */
+    /* Rounded up, so that a tenant reaches its full share under any load of the others. */
     return (uint32_t)((unused * RESERVED_PERCENT + 99) / 100);
 }
 
--- a/src/core/attempt_rule.h
+++ b/src/core/attempt_rule.h
@@ -1,9 +1,9 @@
 /**
- * When a request leaves a back end for another one, and when it has to stay or to wait.
+ * When a request is retried on another backend, and when it stays on a silent one.
  *
- * A client that reads a stream loses an answer when its connection breaks, so a stream that has
- * begun is given up only when nobody can finish it: silence alone ends nothing, and a back end that
- * refuses to go on is followed by another one, or by a wait for a place.
+ * A client loses the answer when a stream is cut, so a stream that has begun is given up only when
+ * no backend can finish it: silence alone does not end it, and after a backend that refuses to
+ * resume it another one is tried, or the request waits for a free slot.
  */
 #ifndef SHUNTRUN_ATTEMPT_RULE_H
 #define SHUNTRUN_ATTEMPT_RULE_H
@@ -11,30 +11,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What is known of a request between two attempts, or in the middle of one. */
+/** State of a request between two attempts or during one. */
 struct attempt_facts {
-    bool repeatable;   /**< it may run more than once */
-    bool may_have_run; /**< an attempt ended without a word on whether it ran */
-    bool begun;        /**< the client has the first events of a stream */
-    uint32_t sends;    /**< back ends that got it, with the present one */
-    uint32_t refusals; /**< of these, back ends that did not run it after the stream had begun */
-    uint32_t backoffs; /**< of these, back ends that did not run it and want nothing for a while */
-    uint32_t ended;    /**< of these, back ends that ended, for all that is known */
+    bool repeatable;       /**< it may run more than once */
+    bool may_have_run;     /**< an attempt ended and it is unknown whether it ran */
+    bool begun;            /**< the client has received the first events of a stream */
+    uint32_t sends;        /**< backends it was sent to, including the current one */
+    uint32_t refusals;     /**< of these, backends that refused to resume the begun stream */
+    uint32_t backoffs;     /**< of these, backends that refused it and asked for a backoff */
+    uint32_t ended;        /**< of these, backends whose process has ended, as far as known */
     uint32_t max_attempts; /**< attempts that its route allows */
-    uint64_t time_left_us; /**< until its final answer is due, microseconds */
+    uint64_t time_left_us; /**< until its final answer is due */
 };
 
-/** With less time left no further back end could read a usual prompt. */
+/** With less time left, another backend could not even process a typical prompt. */
 #define ATTEMPT_MIN_TIME_LEFT_US ((uint64_t)60000)
 
 /**
- * \brief Whether one more back end may get the request.
+ * \brief Whether the request may be sent to one more backend.
  *
- * The number of attempts bounds how often a request runs. A back end that refuses to go on with a
- * begun stream has not run it: counted as an attempt, it would cut the stream at a second engine
- * that is only full. Nor does a refusal count whose back end wants nothing for a while: none of
- * these is asked twice. Nor is it the stream's fault that a back end ended. What bounds a request
- * that ends them itself is core/crash_table.
+ * The number of attempts bounds how often a request runs. A backend that refuses to resume a begun
+ * stream has not run it: if that counted as an attempt, a second engine that is merely full would
+ * cut the stream. A refusal with a backoff does not count either, as no such backend is asked
+ * twice. Nor does a backend whose process ended under a begun stream, which is not to blame for
+ * that. Requests that crash backends themselves are bounded by core/crash_table.
  */
 static inline bool attempt_may_retry(const struct attempt_facts *facts)
 {
@@ -44,20 +44,21 @@
            (facts->repeatable || !facts->may_have_run);
 }
 
-/** What to do about a back end that has sent nothing for a while. */
+/** What to do about a backend that has been silent for some time. */
 enum silence_action {
-    SILENCE_STAY,  /**< stay with it: the silence is this process's own, or nobody else can go on */
-    SILENCE_LEAVE, /**< go to another back end */
+    SILENCE_STAY,  /**< keep waiting: this process was stalled, or no other backend can take over */
+    SILENCE_LEAVE, /**< retry on another backend */
 };
 
-/** A timer of this process that fires later than this shows that the process stood still, or was
- *  short of processor time: what has arrived meanwhile is not read yet. */
+/** A timer that fires later than this shows that this process was stalled or short of CPU time, so
+ *  that data may have arrived that it has not read yet. */
 #define PROCESS_STALL_US ((uint64_t)100000)
 
 /**
- * \param late by how much the timer fired after its time, microseconds
- * \param others whether another back end has room for the request now, and the shared budget a
- * repeat
+ * \brief Decide when the silence timer of a request has fired.
+ * \param late by how much the timer fired after its due time, microseconds
+ * \param others whether another backend has room for the request now, and the shared repeat budget
+ * allows a repeat
  */
 static inline enum silence_action silence_choose_action(const struct attempt_facts *facts,
                                                         uint64_t late, bool others)
--- a/src/core/caller_return.h
+++ b/src/core/caller_return.h
@@ -1,8 +1,9 @@
 /**
- * Tells callers who come back after a refusal from new ones: they have less of their time left.
+ * Detects callers that retry after a refusal by their deadline: they have less time left than new
+ * callers.
  *
- * Callers of one route give themselves the same time, and say how much of it is left. The longest
- * time that was said lately is that of a new caller.
+ * Callers of one route use the same timeout and state how much of it is left. The longest time left
+ * stated recently is that of a new caller.
  */
 #ifndef SHUNTRUN_CALLER_RETURN_H
 #define SHUNTRUN_CALLER_RETURN_H
@@ -10,19 +11,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A caller with a smaller part of the longest time left has come back. New callers differ by their
- *  way here alone, which is shorter than the shortest time to come back. */
+/** A caller that has less than this share of the longest time left is a returning one. New callers
+ *  differ only by their network latency, which is shorter than the shortest retry delay. */
 #define CALLER_RETURN_SHARE 0.93
-/** The longest time counts for one to two such spans, so that one odd caller is forgotten. */
+/** The longest time counts for one to two windows, so that one caller with an unusually long
+ * timeout does not distort the comparison for long. */
 #define CALLER_RETURN_WINDOW_US ((uint64_t)10000000)
 
+/** The longest times left that callers of one route stated. */
 struct caller_times {
-    uint32_t longest_ms;          /**< said in this span */
-    uint32_t previous_longest_ms; /**< said in the last one */
-    uint64_t window_end;
+    uint32_t longest_ms;          /**< in the current window */
+    uint32_t previous_longest_ms; /**< in the previous window */
+    uint64_t window_end;          /**< microseconds */
 };
 
-/** \param left_ms time that the caller says to have left; 0: not said \return whether it came back
+/**
+ * \brief Record a caller and classify it.
+ * \param left_ms time that the caller states to have left; 0: not stated
+ * \return whether the caller retries after a refusal
  */
 static inline bool caller_is_returning(struct caller_times *times, uint32_t left_ms, uint64_t now)
 {
--- a/src/core/come_back.h
+++ b/src/core/come_back.h
@@ -1,9 +1,9 @@
 /**
- * When a refused client is told to come back, as fullness of the back ends lasts.
+ * The Retry-After delay for a client that is refused because all backends are full.
  *
- * A client comes back once or twice only. If it comes back while the back ends are still full, its
- * request is lost. So the wait grows with the share of requests that were refused lately: a
- * moment's fullness is over soon, a lasting one is not.
+ * A client retries only once or twice. If it retries while the backends are still full, its request
+ * is lost. So the delay grows with the share of requests refused recently: a brief saturation is
+ * over soon, a sustained one is not.
  */
 #ifndef SHUNTRUN_COME_BACK_H
 #define SHUNTRUN_COME_BACK_H
@@ -12,18 +12,18 @@
 #include <stdint.h>
 
 struct come_back_settings {
-    double weight;           /**< of one request in the moving share */
-    double saturation_share; /**< from this share of refusals on, the wait is the longest */
-    uint32_t min_ms;         /**< wait while hardly anything is refused */
-    uint32_t max_ms;         /**< wait while fullness lasts */
-    uint32_t jitter_percent; /**< so many hundredths of the wait are added by chance at most */
+    double weight;           /**< of one request in the moving average of refusals */
+    double saturation_share; /**< share of refused requests from which on the delay is `max_ms` */
+    uint32_t min_ms;         /**< delay while hardly any request is refused, without jitter */
+    uint32_t max_ms;         /**< delay under sustained saturation, without jitter */
+    uint32_t jitter_percent; /**< most that is added at random, percent of the delay */
 };
 
 struct come_back {
-    double refused_share; /**< moving share of requests that found all back ends full */
+    double refused_share; /**< moving average, 0 to 1, of requests that found all backends full */
 };
 
-/** \brief A request was sent, or refused as all back ends were full. */
+/** \brief Record that a request was sent, or refused because all backends were full. */
 static inline void come_back_count(struct come_back *come_back,
                                    const struct come_back_settings *settings, bool refused)
 {
@@ -32,17 +32,17 @@
 }
 
 /**
- * \param chance from 0 to below 1
- * \return time after which the client should come back, ms
+ * \param chance random number in [0, 1) that sets the jitter
+ * \return delay after which the client should retry, ms
  */
 static inline uint32_t come_back_ms(const struct come_back *come_back,
                                     const struct come_back_settings *settings, double chance)
 {
-    double lasting = come_back->refused_share / settings->saturation_share;
-    double wait = settings->min_ms;
-    wait += (settings->max_ms - settings->min_ms) * (lasting < 1 ? lasting : 1);
-    wait += wait * settings->jitter_percent / 100 * chance;
-    return (uint32_t)wait;
+    double saturation = come_back->refused_share / settings->saturation_share;
+    double delay = settings->min_ms;
+    delay += (settings->max_ms - settings->min_ms) * (saturation < 1 ? saturation : 1);
+    delay += delay * settings->jitter_percent / 100 * chance;
+    return (uint32_t)delay;
 }
 
 #endif
--- a/src/core/event_stream.c
+++ b/src/core/event_stream.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Length of the line end at `position`, 0 when there is none. */
+/* \return length of the line terminator at `position`; 0: there is none */
 static size_t line_end(const char *bytes, size_t size, size_t position)
 {
     if (position < size && bytes[position] == '\n')
@@ -13,7 +13,7 @@
     return 0;
 }
 
-/* Bytes up to and with the blank line that ends the first event, 0 when it is not there yet. */
+/* \return length of the first event including its closing blank line; 0: it is incomplete */
 static size_t event_length(struct event_stream *stream)
 {
     const char *bytes = stream->partial.data;
@@ -30,7 +30,7 @@
         if (blank)
             return next + blank;
         if (next >= size || (bytes[next] == '\r' && next + 1 >= size)) {
-            stream->scanned = position; /* the next line may be the blank one */
+            stream->scanned = position; /* the next line may turn out to be blank */
             return 0;
         }
         position = next;
@@ -39,6 +39,7 @@
     return 0;
 }
 
+/* Stores the value of the event's last `id` field; one that is too long is ignored. */
 static void record_last_id(struct event_stream *stream, const char *event, size_t size)
 {
     for (size_t line = 0; line < size;) {
@@ -63,13 +64,13 @@
 }
 
 uint32_t event_stream_feed(struct event_stream *stream, const char *bytes, size_t size,
-                           struct buffer *whole)
+                           struct buffer *complete)
 {
     uint32_t events = 0;
     buffer_append(&stream->partial, bytes, size);
     for (size_t length = event_length(stream); length; length = event_length(stream)) {
         record_last_id(stream, stream->partial.data, length);
-        buffer_append(whole, stream->partial.data, length);
+        buffer_append(complete, stream->partial.data, length);
         buffer_consume(&stream->partial, length);
         stream->scanned = 0;
         events++;
--- a/src/core/event_stream.h
+++ b/src/core/event_stream.h
@@ -1,8 +1,8 @@
 /**
- * Splits a stream of server-sent events into whole events.
+ * Splits a byte stream of server-sent events into complete events.
  *
- * Bytes of an event are handed on only when its closing blank line has come, so a torn event never
- * reaches a client.
+ * The bytes of an event are passed on only once its closing blank line has arrived, so a client
+ * never receives a partial event.
  */
 #ifndef SHUNTRUN_EVENT_STREAM_H
 #define SHUNTRUN_EVENT_STREAM_H
@@ -12,23 +12,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** Bytes of the longest event id that is kept, with the terminating NUL. */
 #define EVENT_ID_SIZE 32
 
 struct event_stream {
-    struct buffer partial; /**< bytes of an event that is not complete */
-    size_t scanned;        /**< bytes of `partial` known to hold no end */
-    char last_id[EVENT_ID_SIZE];
-    uint64_t events;
+    struct buffer partial;       /**< bytes of the event that is still incomplete */
+    size_t scanned;              /**< bytes of `partial` already searched for its end */
+    char last_id[EVENT_ID_SIZE]; /**< id of the last event that had one */
+    uint64_t events;             /**< number of complete events so far */
 };
 
 /**
- * \brief Take bytes in. \param whole gets the bytes of all events that are complete now
+ * \brief Add received bytes.
+ * \param complete the bytes of all events completed by them are appended to it
  * \return number of these events
  */
 uint32_t event_stream_feed(struct event_stream *stream, const char *bytes, size_t size,
-                           struct buffer *whole);
-/** \brief Forget a torn event; the last id stays. */
+                           struct buffer *complete);
+/** \brief Discard a partial event; the last id is kept. */
 void event_stream_drop_partial(struct event_stream *stream);
+/** \brief Free the buffer. */
 void event_stream_clear(struct event_stream *stream);
 
 #endif
--- a/src/core/overload.h
+++ b/src/core/overload.h
@@ -1,11 +1,11 @@
 /**
- * Whether a service's back ends have been full for so long that a caller who was refused, and comes
- * back, finds them full again.
+ * Detects sustained overload: the backends of a service have been full for so long that a refused
+ * caller that retries finds them full again.
  *
- * Then a place for one who came back is mostly late, and takes the place of a new caller who could
- * have been served in time: two are late or refused where one would be. So those who came back take
- * what new callers leave. Only fullness counts: after a loss of power back ends are absent first,
- * and those who come back find places.
+ * A slot given to a returning caller is then mostly too late for it, and is taken from a new caller
+ * that could have been served in time: two requests are late or refused instead of one. So
+ * returning callers get only the slots that new callers leave free. Only full backends count: after
+ * a power loss the backends are absent at first, and returning callers find free slots.
  */
 #ifndef SHUNTRUN_OVERLOAD_H
 #define SHUNTRUN_OVERLOAD_H
@@ -13,21 +13,22 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Weight of one new caller in the moving share of those refused: about the last fifty count. */
+/** Weight of one new caller in the moving average of refusals: about the last 50 callers count. */
 #define OVERLOAD_WEIGHT 0.02
-/** From this share of new callers refused on, back ends count as full. */
+/** Share of new callers refused from which on the backends count as full. */
 #define OVERLOAD_ENTER_SHARE 0.2
-/** Below this one they do no longer. */
+/** Share of new callers refused below which the backends no longer count as full. */
 #define OVERLOAD_EXIT_SHARE 0.1
-/** Longer than a refused caller stays away, which is 2.0 s at most (core/come_back). */
+/** Time after which overload counts as sustained: longer than the retry delay of a refused caller,
+ *  which is 2.0 s at most (core/come_back). */
 #define OVERLOAD_SUSTAINED_US ((uint64_t)2500000)
 
 struct overload {
-    double refused_share; /**< moving share of new callers refused, as back ends were full */
-    uint64_t since;       /**< back ends are full since then; 0: they are not */
+    double refused_share; /**< moving average, 0 to 1, of new callers refused by full backends */
+    uint64_t since;       /**< time since which backends are full, us; 0: they are not */
 };
 
-/** \brief A new caller found a place, or was refused as all back ends were full. */
+/** \brief Record that a new caller got a slot, or was refused because all backends were full. */
 static inline void overload_record(struct overload *overload, bool refused, uint64_t now)
 {
     overload->refused_share += OVERLOAD_WEIGHT * ((refused ? 1.0 : 0.0) - overload->refused_share);
@@ -37,12 +38,13 @@
         overload->since = now;
 }
 
-/** \brief No back end is there at all: what follows is no overload. */
+/** \brief Reset the state when no backend is available at all, which is not overload. */
 static inline void overload_reset(struct overload *overload)
 {
     *overload = (struct overload){0};
 }
 
+/** \return whether the backends have been full for OVERLOAD_SUSTAINED_US */
 static inline bool overload_is_sustained(const struct overload *overload, uint64_t now)
 {
     return overload->since && now >= overload->since + OVERLOAD_SUSTAINED_US;
--- a/src/core/place_wait.h
+++ b/src/core/place_wait.h
@@ -1,9 +1,10 @@
 /**
- * Whether a request for which no back end can be had waits for one, or is refused.
+ * Whether a request that no backend can take now waits for a free slot or is refused.
  *
- * It waits only while a place can come free: back ends that are fit but full free one with each
- * request that ends, and one that wants nothing for a while may be asked afterwards. Where none is
- * fit at all, nothing that ends helps, and the caller is better off with an answer at once.
+ * It waits only while a slot can become free: a usable but full backend frees one with each request
+ * that completes, and a backend that asked for a backoff may be tried again afterwards. With no
+ * usable backend at all, no completing request helps, and the caller is better served by an
+ * immediate refusal.
  */
 #ifndef SHUNTRUN_PLACE_WAIT_H
 #define SHUNTRUN_PLACE_WAIT_H
@@ -11,9 +12,9 @@
 #include "core/backend_pool.h"
 
 /**
- * \param backoff_end as backend_pool_backoff_end() says
- * \param until time up to which a request may wait for a place
- * \return whether it is refused
+ * \param backoff_end see backend_pool_backoff_end()
+ * \param until time until which the request may wait for a slot
+ * \return whether the request is refused now
  */
 static inline bool place_wait_refuses(enum backend_absence absence, uint64_t backoff_end,
                                       uint64_t until, uint64_t now)
--- a/src/core/repeat_budget.c
+++ b/src/core/repeat_budget.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** Part of the bound that is used; the rest covers windows that are cut between steps. */
+/** Share of the bound that is used; the rest covers windows that begin or end within a bucket. */
 #define USED_SHARE 0.8
 
 void repeat_budget_init(struct repeat_budget *budget, const struct repeat_budget_settings *settings,
@@ -54,7 +54,7 @@
     advance(budget, now);
     double share = 1.0;
     if (now < budget->started + budget->settings.window_us)
-        /* What an earlier life of this process spent is not known: begin with half. */
+        /* Repeats spent by a previous run of this process are unknown: start with half. */
         share = 0.5;
     double allowance = share * budget->settings.allowance / (gateways ? gateways : 1);
     double bound = USED_SHARE * (budget->settings.ratio * sum(budget->requests) + allowance);
--- a/src/core/repeat_budget.h
+++ b/src/core/repeat_budget.h
@@ -1,9 +1,9 @@
 /**
- * A budget of repeats that all gateways share without talking: each spends at most a share of its
- * own requests, and its part of a fixed allowance, in any sliding window.
+ * A budget of repeats that all gateways share without coordination: in any sliding window, each
+ * spends at most a share of its own requests plus its part of a fixed allowance.
  *
- * The sum over all gateways then keeps the bound of the whole, also when they disagree on who
- * lives: the allowance is divided by the greatest number of gateways seen.
+ * The sum over all gateways then stays within the global bound, even when they disagree on which
+ * gateways are alive: the allowance is divided by the highest number of gateways seen.
  */
 #ifndef SHUNTRUN_REPEAT_BUDGET_H
 #define SHUNTRUN_REPEAT_BUDGET_H
@@ -11,30 +11,34 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The window is counted in this many steps, and one step more than the window is kept. */
+/** Buckets of equal length into which the window is divided; one more than these is kept. */
 #define REPEAT_BUDGET_BUCKETS 20
 
 struct repeat_budget_settings {
-    double ratio;       /**< repeats for each request of the window */
-    uint32_t allowance; /**< repeats of all gateways besides, in each window */
-    uint64_t window_us;
+    double ratio;       /**< repeats per request in the window */
+    uint32_t allowance; /**< additional repeats per window, of all gateways together */
+    uint64_t window_us; /**< length of the sliding window */
 };
 
 struct repeat_budget {
     struct repeat_budget_settings settings;
-    uint64_t bucket; /**< number of the present step */
-    uint32_t requests[REPEAT_BUDGET_BUCKETS + 1];
-    uint32_t repeats[REPEAT_BUDGET_BUCKETS + 1];
-    uint64_t started; /**< time of the first use; the allowance grows over the first window */
+    uint64_t bucket;                              /**< number of the current bucket */
+    uint32_t requests[REPEAT_BUDGET_BUCKETS + 1]; /**< by bucket number modulo the array size */
+    uint32_t repeats[REPEAT_BUDGET_BUCKETS + 1];  /**< the same */
+    uint64_t started; /**< time of creation, us; half the allowance holds for the first window */
 };
 
 void repeat_budget_init(struct repeat_budget *budget, const struct repeat_budget_settings *settings,
                         uint64_t now);
-/** \brief Count a request from a client. */
+/** \brief Count a client request, which earns budget. */
 void repeat_budget_earn(struct repeat_budget *budget, uint64_t now);
-/** \return whether a repeat may be taken now */
+/** \return whether the budget has room for a repeat now */
 bool repeat_budget_allows(struct repeat_budget *budget, uint64_t now, uint32_t gateways);
-/** \brief Take one repeat. \param gateways that share the allowance \return false: do not repeat */
+/**
+ * \brief Spend one repeat.
+ * \param gateways number of gateways that share the allowance
+ * \return false if the budget is exhausted: the request must not be repeated
+ */
 bool repeat_budget_spend(struct repeat_budget *budget, uint64_t now, uint32_t gateways);
 
 #endif
--- a/src/core/request_identity.c
+++ b/src/core/request_identity.c
@@ -5,13 +5,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Each part goes in behind its length: no other split of the same bytes is the same request. */
+/* Hashes each part behind its length, so that another split of the same bytes gives another
+ * identity. */
 static void add_part(EVP_MD_CTX *context, const void *bytes, size_t size)
 {
     uint64_t length = size;
     if (!EVP_DigestUpdate(context, &length, sizeof length) ||
         !EVP_DigestUpdate(context, bytes, size))
-        abort(); /* only when libcrypto is not usable at all */
+        abort(); /* fails only if libcrypto is unusable */
 }
 
 struct request_identity request_identity_of(const struct request_content *content)
@@ -20,7 +21,7 @@
     uint8_t digest[EVP_MAX_MD_SIZE];
     EVP_MD_CTX *context = EVP_MD_CTX_new();
     if (!context || !EVP_DigestInit_ex(context, EVP_sha256(), NULL))
-        abort(); /* only when libcrypto cannot allocate */
+        abort(); /* fails only if libcrypto cannot allocate memory */
     add_part(context, content->caller, strlen(content->caller));
     add_part(context, content->method, strlen(content->method));
     add_part(context, content->target, content->target_length);
@@ -45,7 +46,7 @@
         snprintf(hex + 2 * i, 3, "%02x", identity->bytes[i]);
 }
 
-/* \return the value of a digit, or -1 */
+/* \return the value of a lower-case hex digit, or -1 */
 static int hex_digit_value(char digit)
 {
     if (digit >= '0' && digit <= '9')
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,5 +1,5 @@
 /**
- * Retry budget: retries are a bounded share of requests, so that a failing fleet is not stormed.
+ * Retry budget: bounds retries to a share of requests, to prevent retry storms on a failing fleet.
  */
 #ifndef SHUNTRUN_RETRY_BUDGET_H
 #define SHUNTRUN_RETRY_BUDGET_H
@@ -7,14 +7,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RETRY_BUDGET_COST 100  /**< one retry in hundredths */
-#define RETRY_BUDGET_MAX 10000 /**< retries saved up at most, in hundredths: 100 */
+#define RETRY_BUDGET_COST 100  /**< hundredths that one retry costs */
+#define RETRY_BUDGET_MAX 10000 /**< cap of the saved budget in hundredths: 100 retries */
 
 struct retry_budget {
-    uint32_t percent; /**< retries for each hundred requests */
-    uint32_t saved;   /**< hundredths of a retry */
+    uint32_t percent; /**< retries per hundred requests */
+    uint32_t saved;   /**< saved budget, hundredths of a retry */
 };
 
+/** \brief Start with a tenth of the cap, or with nothing if retries are disabled (0 percent). */
 static inline void retry_budget_init(struct retry_budget *budget, uint32_t percent)
 {
     budget->percent = percent;
@@ -29,7 +30,7 @@
         budget->saved = RETRY_BUDGET_MAX;
 }
 
-/** \return false when no retry may be made now */
+/** \brief Spend one retry. \return false if the budget is exhausted: do not retry now */
 static inline bool retry_budget_spend(struct retry_budget *budget)
 {
     if (budget->saved < RETRY_BUDGET_COST)
--- a/src/core/staggered_start.h
+++ b/src/core/staggered_start.h
@@ -1,8 +1,9 @@
 /**
- * When each engine of a model takes a new version, so that they do not all stand idle at once.
+ * Staggers the times at which the engines of a model switch to a new version, so that they are not
+ * all idle at once.
  *
- * Every loader computes its own moment from the members that it sees; there is no coordinator.
- * Views that differ move a few engines closer together and do no other harm.
+ * Each loader computes its own time from the members that it knows, without a coordinator.
+ * Differing membership views only move the times of some engines closer together.
  */
 #ifndef SHUNTRUN_STAGGERED_START_H
 #define SHUNTRUN_STAGGERED_START_H
@@ -10,14 +11,14 @@
 #include <stdint.h>
 
 struct staggered_start_settings {
-    uint64_t first_us; /**< after the version was named, the first engine starts */
-    uint64_t last_us;  /**< after the version was named, the last engine starts */
+    uint64_t first_us; /**< time from naming the version to the switch of the first engine */
+    uint64_t last_us;  /**< time from naming the version to the switch of the last engine */
 };
 
 /**
- * \param named time at which the version was named
- * \param position of this engine among `count` in an order that all loaders agree on
- * \return time at which this engine may take the version
+ * \param named time at which the version was named, microseconds
+ * \param position of this engine among `count`, in an order that all loaders agree on, from 0
+ * \return time from which this engine may switch to the version
  */
 static inline uint64_t staggered_start_at(const struct staggered_start_settings *settings,
                                           uint64_t named, uint32_t position, uint32_t count)
--- a/src/core/stream_length.h
+++ b/src/core/stream_length.h
@@ -1,26 +1,31 @@
 /**
- * How long a stream of a service is expected to last, learned from those that ended.
+ * Estimates the duration of a service's streams from streams that have completed.
  *
- * Clients may say how many tokens they guess; a guess is off by a factor of two for one stream in
- * ten, so it orders streams by length rather than telling when one ends.
+ * Clients may send a length hint, in tokens. A hint is off by a factor of two for one stream in
+ * ten, so an estimate from it serves to order streams by length rather than to predict when one
+ * ends.
  */
 #ifndef SHUNTRUN_STREAM_LENGTH_H
 #define SHUNTRUN_STREAM_LENGTH_H
 
 #include <stdint.h>
 
-/** Weight of one stream in the moving sums: about the last hundred streams count. */
+/** Weight of one stream in the decaying sums: about the last hundred streams count. */
 #define STREAM_LENGTH_WEIGHT 0.01
 
-/** Moving sums; all 0 before the first stream. */
+/** Exponentially decaying sums; all 0 before the first stream. */
 struct stream_length {
-    double streams;
+    double streams;        /**< number of streams */
     double time_us;        /**< of all streams */
-    double hinted_tokens;  /**< of streams with a guess */
+    double hinted_tokens;  /**< of streams with a hint */
     double hinted_time_us; /**< of the same streams */
 };
 
-/** \brief A stream ended whole. \param guess of its client, tokens; 0: none */
+/**
+ * \brief Record a completed stream.
+ * \param hint length hint of its client, tokens; 0: none
+ * \param time_us from sending the request to the end of the stream
+ */
 static inline void stream_length_record(struct stream_length *length, uint32_t hint,
                                         uint64_t time_us)
 {
@@ -33,7 +38,7 @@
     length->hinted_time_us = length->hinted_time_us * decay + (double)time_us;
 }
 
-/** \return time from the send of a stream to its end, microseconds; 0: not known */
+/** \return expected time from sending a request to the end of its stream, us; 0: unknown */
 static inline uint64_t stream_length_expected_us(const struct stream_length *length, uint32_t hint)
 {
     if (hint && length->hinted_tokens > 0)
--- a/src/core/ticket.h
+++ b/src/core/ticket.h
@@ -1,13 +1,16 @@
 /**
- * Tickets: proof that an idempotency key cannot have reached an earlier incarnation of its home.
+ * Tickets prove that an idempotency key cannot have reached an earlier incarnation of its home, the
+ * machine that runs requests of a plain service.
  *
- * A gateway hands a ticket out with the address answer; the caller puts it before its own key:
- * "<ticket>~<key>". It names the homes of the service and, for each, the incarnation and ticket
- * epoch that the gateway last heard. The home accepts a key only when the ticket names its present
- * incarnation and one of its last two epochs; it keeps answers for as long as their epoch can be
- * accepted. So a repeat is either answered from memory or refused, and no dates are compared.
+ * A gateway issues a ticket with the answer to an address query; the caller prefixes its own key
+ * with it: "<ticket>~<key>". The ticket holds the homes of the service and, for each, the
+ * incarnation and ticket epoch that the gateway last heard of. A home accepts a key only when the
+ * ticket holds its current incarnation and one of its last two epochs, and it stores answers for as
+ * long as their epoch can be accepted. So a repeat is either answered from memory or refused, and
+ * no clocks are compared.
  *
- * Form: "t<homes hash>.<incarnation>-<epoch>.<incarnation>-<epoch>…", hexadecimal, homes by id.
+ * Format: "t<homes hash>.<incarnation>-<epoch>.<incarnation>-<epoch>…", in hexadecimal, homes in
+ * order of their ids.
  */
 #ifndef SHUNTRUN_TICKET_H
 #define SHUNTRUN_TICKET_H
@@ -18,27 +21,29 @@
 #include <stdint.h>
 
 #define TICKET_MAX_HOMES 16
+/** Bytes of a buffer for the text of a ticket, with the terminating NUL. */
 #define TICKET_SIZE 640
+/** Between the ticket and the caller's own key. */
 #define TICKET_SEPARATOR '~'
 
 struct ticket_home {
-    uint64_t incarnation; /**< 0: not heard of */
+    uint64_t incarnation; /**< 0: unknown */
     uint64_t epoch;
 };
 
 struct ticket {
-    uint64_t homes_hash;
+    uint64_t homes_hash; /**< see ticket_homes_hash() */
     uint32_t home_count;
     struct ticket_home homes[TICKET_MAX_HOMES];
 };
 
-/** \brief Hash of the homes of a plain service; a moved home makes old tickets void. */
+/** \return a hash of the homes of a plain service: moving a home invalidates old tickets */
 uint64_t ticket_homes_hash(const struct service_config *service);
 
-/** \return STATUS_EXHAUSTED when the service has more than TICKET_MAX_HOMES homes */
+/** \brief Format a ticket. \return STATUS_EXHAUSTED for more than TICKET_MAX_HOMES homes */
 enum status ticket_format(const struct ticket *ticket, char text[TICKET_SIZE]);
 
-/** \brief Read the ticket at the start of a key. \return STATUS_NOT_FOUND when it has none */
+/** \brief Parse the ticket at the start of a key. \return STATUS_NOT_FOUND without a valid one */
 enum status ticket_parse(const char *key, struct ticket *ticket);
 
 #endif
--- a/tests/core/attempt_rule_test.c
+++ b/tests/core/attempt_rule_test.c
@@ -1,4 +1,4 @@
-/* When a request leaves a back end, and when it stays. */
+/* When a request is retried on another backend, and when it stays on a silent one. */
 #include "testing.h"
 
 #include "core/attempt_rule.h"
--- a/tests/core/come_back_test.c
+++ b/tests/core/come_back_test.c
@@ -1,4 +1,4 @@
-/* When a refused client is told to come back. */
+/* The Retry-After delay of refused clients. */
 #include "testing.h"
 
 #include "core/come_back.h"
--- a/tests/core/crash_table_test.c
+++ b/tests/core/crash_table_test.c
@@ -435,8 +435,8 @@
     world->count[engine] = 0;
     world->crashes++;
     uint64_t incarnation = crash_incarnation_key("engine", engine * 1000 + world->born[engine]);
-    for (uint32_t i = 0; i < count;
-         i++) /* crashing requests come in new attempts, others are resumed */
+    /* Crashing requests come in a new attempt each time, others are resumed in the same one. */
+    for (uint32_t i = 0; i < count; i++)
         add_crash_of_attempt(world->table, interrupted[i], incarnation, now,
                              interrupted[i] < world->crashing ? world->crashes : 0);
     world->born[engine]++;
--- a/tests/core/event_stream_test.c
+++ b/tests/core/event_stream_test.c
@@ -1,4 +1,4 @@
-/* Whole events out of bytes that come in any pieces. */
+/* Splitting a byte stream into complete events, for any chunking. */
 #include "testing.h"
 
 #include "core/event_stream.h"
@@ -10,17 +10,18 @@
 static void feed_in_chunks(size_t chunk_size)
 {
     struct event_stream stream = {0};
-    struct buffer whole = {0};
+    struct buffer complete = {0};
     for (size_t offset = 0; offset < strlen(events); offset += chunk_size) {
         size_t rest = strlen(events) - offset;
-        event_stream_feed(&stream, events + offset, rest < chunk_size ? rest : chunk_size, &whole);
+        event_stream_feed(&stream, events + offset, rest < chunk_size ? rest : chunk_size,
+                          &complete);
     }
     assert_int_equal(stream.events, 3);
-    assert_int_equal(whole.size, strlen(events));
-    assert_memory_equal(whole.data, events, whole.size);
+    assert_int_equal(complete.size, strlen(events));
+    assert_memory_equal(complete.data, events, complete.size);
     assert_string_equal(stream.last_id, "3");
     assert_int_equal(stream.partial.size, 0);
-    buffer_clear(&whole);
+    buffer_clear(&complete);
     event_stream_clear(&stream);
 }
 
@@ -33,14 +34,14 @@
 static void partial_event_is_held_back(void **state)
 {
     struct event_stream stream = {0};
-    struct buffer whole = {0};
-    assert_int_equal(event_stream_feed(&stream, "id: 4\ndata: x\n\nid: 5\nda", 23, &whole), 1);
-    assert_int_equal(whole.size, 15);
+    struct buffer complete = {0};
+    assert_int_equal(event_stream_feed(&stream, "id: 4\ndata: x\n\nid: 5\nda", 23, &complete), 1);
+    assert_int_equal(complete.size, 15);
     assert_string_equal(stream.last_id, "4");
     event_stream_drop_partial(&stream);
-    assert_int_equal(event_stream_feed(&stream, "id: 5\ndata: y\n\n", 15, &whole), 1);
+    assert_int_equal(event_stream_feed(&stream, "id: 5\ndata: y\n\n", 15, &complete), 1);
     assert_string_equal(stream.last_id, "5");
-    buffer_clear(&whole);
+    buffer_clear(&complete);
     event_stream_clear(&stream);
 }
 
--- a/tests/core/limits_test.c
+++ b/tests/core/limits_test.c
@@ -1,4 +1,4 @@
-/* Admission by tenant, the retry budget, the replay guard and tickets. */
+/* Admission control by tenant, the retry budget, replay protection and tickets. */
 #include "testing.h"
 
 #include "core/admission.h"
@@ -18,12 +18,13 @@
     uint32_t large = 0;
     while (admission_enter(&admission, 0))
         large++;
-    assert_true(large >= 90 && large < 100); /* it borrows, but not all */
+    assert_true(large >= 90 &&
+                large < 100); /* it borrows some of the small tenant's share, but not all */
     uint32_t small = 0;
     while (admission_enter(&admission, 1))
         small++;
     assert_true(small >= 3);
-    /* However eager the large one is, the small one gets its whole share as requests end. */
+    /* The small tenant reaches its full share as requests end, though the large one competes. */
     for (uint32_t i = 0; i < 100; i++) {
         admission_leave(&admission, 0);
         large--;
@@ -35,7 +36,7 @@
         admission_leave(&admission, 0);
     while (admission_enter(&admission, 1))
         small++;
-    assert_true(small > 40 && small < 100); /* and borrows in turn */
+    assert_true(small > 40 && small < 100); /* it borrows in turn */
     admission_clear(&admission);
 }
 
@@ -72,7 +73,7 @@
     assert_false(replay_guard_accept(&guard, 1, 5));
     assert_true(replay_guard_accept(&guard, 2, 5));
     assert_true(replay_guard_accept(&guard, 1, 5 + REPLAY_GUARD_WINDOW));
-    assert_false(replay_guard_accept(&guard, 1, 5)); /* too old to tell */
+    assert_false(replay_guard_accept(&guard, 1, 5)); /* below the window */
     assert_true(replay_guard_accept(&guard, 1, 6));
     assert_true(replay_guard_accept(&guard, 1, 100000));
     assert_false(replay_guard_accept(&guard, 1, 7));
--- a/tests/core/overload_test.c
+++ b/tests/core/overload_test.c
@@ -1,4 +1,4 @@
-/* When overload lasts, and who has come back. */
+/* Detection of sustained overload and of returning callers. */
 #include "testing.h"
 
 #include "core/caller_return.h"
@@ -7,7 +7,8 @@
 #define MS_US ((uint64_t)1000)
 #define GAP_US (10 * MS_US)
 
-/* New callers at 100 a second, of which so many in ten are refused. \return the time after them */
+/* New callers at 100 per second, of whom `refused_of_ten` in ten are refused.
+ * \return the time after them */
 static uint64_t send_callers(struct overload *overload, uint32_t callers, uint32_t refused_of_ten,
                              uint64_t now)
 {
@@ -40,7 +41,7 @@
     now = send_callers(&overload, 100, 0, now);
     assert_false(overload_is_sustained(&overload, now));
     now = send_callers(&overload, 100, 5, now);
-    assert_false(overload_is_sustained(&overload, now)); /* it begins anew */
+    assert_false(overload_is_sustained(&overload, now)); /* a new overload has begun */
 }
 
 static void absent_backends_are_not_overloaded(void **state)
@@ -50,7 +51,8 @@
     overload_reset(&overload);
     assert_false(overload_is_sustained(&overload, now));
     now = send_callers(&overload, 200, 9, now);
-    assert_false(overload_is_sustained(&overload, now)); /* what came together is served in 2 s */
+    assert_false(overload_is_sustained(
+        &overload, now)); /* callers that arrived at the same time are served within 2 s */
 }
 
 static void caller_with_less_time_left_is_returning(void **state)
@@ -60,7 +62,7 @@
     assert_false(caller_is_returning(&times, 5990, 1));
     assert_true(caller_is_returning(&times, 5400, 2));
     assert_true(caller_is_returning(&times, 900, 3));
-    assert_false(caller_is_returning(&times, 0, 4)); /* it does not say */
+    assert_false(caller_is_returning(&times, 0, 4)); /* time left not stated */
 }
 
 static void long_deadline_of_one_caller_expires(void **state)
--- a/tests/core/place_wait_test.c
+++ b/tests/core/place_wait_test.c
@@ -1,4 +1,4 @@
-/* Who waits for a place, and who is refused at once. */
+/* Which requests wait for a free slot, and which are refused at once. */
 #include "testing.h"
 
 #include "core/place_wait.h"
--- a/tests/core/repeat_budget_test.c
+++ b/tests/core/repeat_budget_test.c
@@ -1,4 +1,4 @@
-/* The shared budget of repeats, in every sliding window. */
+/* The shared repeat budget, checked in sliding windows over all gateways. */
 #include "testing.h"
 
 #include "core/random.h"
@@ -13,7 +13,7 @@
 static const struct repeat_budget_settings settings = {
     .ratio = 0.2, .allowance = 100, .window_us = 10 * SECOND_US};
 
-/* Repeats and requests of all gateways in steps of 10 ms. */
+/* Requests and repeats of all gateways, by step of 10 ms. */
 struct counts {
     uint32_t requests[SECONDS * 100];
     uint32_t repeats[SECONDS * 100];
@@ -32,7 +32,7 @@
             struct repeat_budget *budget = &budgets[random_below(&random, GATEWAYS)];
             repeat_budget_earn(budget, now);
             counts->requests[step]++;
-            /* Every request fails and wants to be repeated. */
+            /* Every request fails and asks for a repeat. */
             counts->repeats[step] += repeat_budget_spend(budget, now, GATEWAYS);
         }
     }
@@ -68,7 +68,7 @@
     repeat_budget_init(&budget, &settings, now);
     while (repeat_budget_spend(&budget, now + 20 * SECOND_US, GATEWAYS))
         spent++;
-    assert_int_equal(spent, 13); /* 0.8 of its sixth of 100 */
+    assert_int_equal(spent, 13); /* 0.8 of its sixth of the allowance of 100 */
     assert_false(repeat_budget_spend(&budget, now + 29 * SECOND_US, GATEWAYS));
     assert_true(repeat_budget_spend(&budget, now + 31 * SECOND_US, GATEWAYS));
 }
--- a/tests/core/request_identity_test.c
+++ b/tests/core/request_identity_test.c
@@ -1,4 +1,4 @@
-/* Which requests are the same one. */
+/* Request identity: equal for equal content, different otherwise. */
 #include "testing.h"
 
 #include "core/request_identity.h"
@@ -41,7 +41,8 @@
         assert_false(are_same(&first, &others[i]));
 }
 
-/* A caller chooses its target and body: neither may move into the caller's place. */
+/* A caller chooses its target and body, and must not be able to forge another caller's identity by
+ * moving bytes between the parts. */
 static void parts_are_delimited(void **state)
 {
     struct request_content first = content_of("studio", "/brief", "words");
--- a/tests/core/stream_length_test.c
+++ b/tests/core/stream_length_test.c
@@ -1,4 +1,4 @@
-/* How long a stream is expected to last. */
+/* Estimates of stream durations. */
 #include "testing.h"
 
 #include "core/stream_length.h"
