--- a/src/core/crash_table.c
+++ b/src/core/crash_table.c
@@ -123,6 +123,7 @@
     return hash_pair(incarnation, 1);
 }
 
+/* \return the earlier of two times, where 0 stands for an unknown one */
 static uint64_t earlier_known(uint64_t left, uint64_t right)
 {
     if (!left || !right)
@@ -207,7 +208,7 @@
     return latest_crash_at(entry) < latest_crash_at(than);
 }
 
-static struct crash_entry *least_evidence(struct crash_table *table)
+static struct crash_entry *find_least_evidence(struct crash_table *table)
 {
     struct crash_entry *least = &table->entries[0];
     for (uint32_t i = 1; i < table->count; i++)
@@ -222,15 +223,15 @@
     struct crash_entry *entry = lookup(table, identity);
     if (entry)
         return entry;
-    entry =
-        table->count < CRASH_MAX_ENTRIES ? &table->entries[table->count++] : least_evidence(table);
+    entry = table->count < CRASH_MAX_ENTRIES ? &table->entries[table->count++]
+                                             : find_least_evidence(table);
     *entry = (struct crash_entry){.identity = *identity};
     table->prefixes[entry - table->entries] = prefix_of(identity);
     return entry;
 }
 
 /* \return when any node first knew of the crash of an incarnation; 0: no crash is known */
-static uint64_t detected_since(const struct crash_table *table, uint64_t incarnation)
+static uint64_t crash_detected_at(const struct crash_table *table, uint64_t incarnation)
 {
     uint64_t detected_at = 0;
     for (uint32_t i = 0; i < table->count; i++) {
@@ -245,10 +246,10 @@
 uint64_t crash_table_incarnation_of_run(const struct crash_table *table, uint64_t incarnation,
                                         uint64_t began_at)
 {
-    uint64_t detected_at = detected_since(table, incarnation);
+    uint64_t detected_at = crash_detected_at(table, incarnation);
     while (detected_at && detected_at + CRASH_SIMULTANEOUS_US < began_at) {
         incarnation = next_incarnation(incarnation);
-        detected_at = detected_since(table, incarnation);
+        detected_at = crash_detected_at(table, incarnation);
     }
     return incarnation;
 }
@@ -272,8 +273,7 @@
 }
 
 /* The last run of a resumed stream does only the rest of its work, so its success says nothing
- * about crashes that followed a longer run. A single attempt is cleared all the same: once complete
- * it does not run again, and must not make crashes of other requests ambiguous. */
+ * about crashes that followed a longer run. */
 static bool outlasted_crashed_runs(const struct crash_entry *entry, uint64_t ran_us)
 {
     for (uint32_t i = 0; i < entry->crash_count; i++) {
@@ -288,6 +288,8 @@
                                 uint64_t at, uint64_t ran_us)
 {
     struct crash_entry *entry = lookup(table, identity);
+    /* A single attempt is cleared even by a short last run: it is complete and does not run again,
+     * and must not make crashes of other requests ambiguous. */
     if (!entry || !entry->crash_count ||
         (ran_us != CRASH_FULL_RUN && !crash_entry_has_single_attempt(entry) &&
          !outlasted_crashed_runs(entry, ran_us)))
@@ -365,7 +367,7 @@
 /* --- leases --------------------------------------------------------------------------------------
  */
 
-/* A total order, the same on all nodes that hold the same entries. */
+/* Breaks ties by identity, so that all nodes that hold the same entries agree. */
 static bool is_more_suspect(const struct crash_table *table, const struct crash_entry *entry,
                             const struct crash_entry *than)
 {
--- a/src/core/crash_table.h
+++ b/src/core/crash_table.h
@@ -31,7 +31,8 @@
  *  run it. One more crash blocks it again, so a request that cannot be run costs about one backend
  *  an hour. */
 #define CRASH_BLOCK_DURATION_US ((uint64_t)3600000000)
-/** An entry with a single crash expires after this time: callers retry within it. */
+/** An entry with a single crash expires after this time: callers retry within it. Crashes of other
+ *  requests within this time before a verdict settles count as noise (core/crash_verdict). */
 #define CRASH_SINGLE_TTL_US ((uint64_t)60000000)
 /** Lifetime of an entry that all gateways hold. */
 #define CRASH_SHARED_TTL_US ((uint64_t)86400000000)
--- a/src/core/crash_verdict.h
+++ b/src/core/crash_verdict.h
@@ -32,7 +32,8 @@
  *  whose engine crashes is resumed on another engine, where a suspect may run. */
 #define CRASHES_TO_BLOCK 3
 /** The same for a request with a single attempt of its caller present at all of the crashes: a
- *  stream that has begun is resumed wherever possible, and so meets crashes that others cause. */
+ *  stream that has begun is resumed wherever possible, and so meets crashes that others cause. It
+ *  also takes one more proof. */
 #define CRASHES_TO_BLOCK_SINGLE_ATTEMPT 4
 /** Proofs required among these crashes, where backends crash for no unknown reason. */
 #define CRASH_PROOFS_TO_BLOCK 1
