--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEPT_FREE_PERCENT 25 /* part of unused shares that others may not borrow */
+#define RESERVED_PERCENT 25 /* part of the unused shares that other tenants cannot borrow */
 
 void admission_configure(struct admission *admission, uint32_t limit,
                          const struct tenant_config *tenants, uint32_t count)
@@ -42,8 +42,8 @@
     return share ? (uint32_t)share : 1;
 }
 
-/* Slots kept free for other tenants that are below their shares. */
-static uint32_t kept_for_others(const struct admission *admission, uint32_t tenant)
+/* Slots reserved for other tenants that are below their shares. */
+static uint32_t reserved_for_others(const struct admission *admission, uint32_t tenant)
 {
     uint64_t unused = 0;
     for (uint32_t i = 0; i < admission->tenant_count; i++) {
@@ -51,8 +51,8 @@
         if (i != tenant && admission->tenants[i].active < share)
             unused += share - admission->tenants[i].active;
     }
-    /* Rounded up: then a tenant reaches its whole share, however eager the others are. */
-    return (uint32_t)((unused * KEPT_FREE_PERCENT + 99) / 100);
+    /* Rounded up, so that a tenant reaches its full share under any load of the others. */
+    return (uint32_t)((unused * RESERVED_PERCENT + 99) / 100);
 }
 
 bool admission_enter(struct admission *admission, uint32_t tenant)
@@ -62,7 +62,7 @@
     bool within_share = entry->active < admission_share(admission, tenant);
     uint32_t bound = admission->limit;
     if (!within_share)
-        bound -= kept_for_others(admission, tenant);
+        bound -= reserved_for_others(admission, tenant);
     if (admission->active >= bound)
         return false;
     entry->active++;
--- a/src/core/backend_choice.c
+++ b/src/core/backend_choice.c
@@ -308,7 +308,7 @@
     uint64_t weight = (hash_pair(criteria->rank_key, hash_name(backend->listing.id)) >> 1) | 1;
     if (!criteria->barred_count && !criteria->leased_start)
         return weight | RANK_PREFERRED;
-    uint64_t start = crash_start_key(backend->listing.id, backend->listing.born);
+    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
     if (start == criteria->leased_start)
         return is_barred(criteria, start) ? 0 : UINT64_MAX;
     if (!is_barred(criteria, start))
--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -222,8 +222,8 @@
     /** Not 0: rendezvous hashing with this key selects among the backends with room, so that
      *  identical requests meet at one backend and others rarely do. */
     uint64_t rank_key;
-    /** With a rank key: starts (crash_start_key()) at which other requests run in isolation, as
-     * they may crash a backend, or have precedence to. */
+    /** With a rank key: starts (crash_incarnation_key()) at which other requests run in isolation,
+     * as they may crash a backend, or have precedence to. */
     const uint64_t *barred_starts;
     uint32_t barred_count;
     bool isolated;         /**< barred starts count as full; if false, they are the last choice */
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -153,7 +153,7 @@
  * until the next tick. */
 static void close_expired_connections(struct edge *edge, uint64_t now)
 {
-    bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + OWN_PAUSE_US;
+    bool paused = edge->last_tick && now > edge->last_tick + TICK_MS * 1000 + PROCESS_STALL_US;
     edge->last_tick = now;
     if (paused)
         return;
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -67,9 +67,10 @@
     uv_timer_t timer;
     uint64_t last_tick;
     struct edge_client *clients;
-    struct upstream *upstreams;                /**< all connections to backends, newest first */
-    struct crash_check *crash_checks;          /**< checks of backends that may have crashed */
-    uint64_t barred_starts[CRASH_BARRED_MOST]; /**< barred to the request being dispatched */
+    struct upstream *upstreams;       /**< all connections to backends, newest first */
+    struct crash_check *crash_checks; /**< checks of backends that may have crashed */
+    uint64_t
+        barred_starts[CRASH_MAX_LEASED_INCARNATIONS]; /**< barred to the request being dispatched */
     struct exchange *queue; /**< requests that wait for a slot, most urgent first */
     uint32_t active;        /**< requests without a final response */
     uint32_t gateways;      /**< alive now, at least 1 */
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -49,8 +49,8 @@
         .refusals = exchange->refusals,
         .backoffs = exchange->backoffs,
         .ended = count_ended(exchange),
-        .most = exchange->route->attempts,
-        .time_left = exchange->deadline_at > now ? exchange->deadline_at - now : 0,
+        .max_attempts = exchange->route->attempts,
+        .time_left_us = exchange->deadline_at > now ? exchange->deadline_at - now : 0,
     };
 }
 
@@ -103,7 +103,7 @@
 }
 
 static void log_silence(const struct exchange *exchange, uint64_t now, uint64_t late,
-                        bool has_alternative, enum silence_verdict verdict)
+                        bool has_alternative, enum silence_action verdict)
 {
     log_event(LOG_LEVEL_WARN, "request", "silent",
               "request=%s backend=%s silence_ms=%" PRIu64 " timer_late_ms=%" PRIu64
@@ -112,7 +112,7 @@
               (now - silence_started_at(exchange)) / US_PER_MS, late / US_PER_MS,
               upstream_is_sent(exchange->upstream), exchange->sends, exchange->refusals,
               exchange->events.events, has_alternative,
-              verdict == SILENCE_LEAVES ? "leave" : "stay");
+              verdict == SILENCE_LEAVE ? "leave" : "stay");
 }
 
 static void leave_silent_backend(struct exchange *exchange)
@@ -134,16 +134,16 @@
     struct attempt_facts facts = exchange_facts(exchange, now);
     uint64_t heard_after = exchange->streaming ? now - ALTERNATIVE_MAX_SILENCE_US : 0;
     bool has_alternative = exchange_has_alternative(exchange, heard_after);
-    enum silence_verdict verdict = silence_judge(&facts, late, has_alternative);
-    if (verdict == SILENCE_LEAVES || !exchange->silence_tolerated_until)
+    enum silence_action verdict = silence_choose_action(&facts, late, has_alternative);
+    if (verdict == SILENCE_LEAVE || !exchange->silence_tolerated_until)
         log_silence(exchange, now, late, has_alternative, verdict);
-    if (verdict == SILENCE_LEAVES) {
+    if (verdict == SILENCE_LEAVE) {
         exchange->heard_after = heard_after;
         leave_silent_backend(exchange);
         return;
     }
     exchange->silence_tolerated_until =
-        now + (late > OWN_PAUSE_US ? silence_limit(exchange) : SILENCE_RECHECK_US);
+        now + (late > PROCESS_STALL_US ? silence_limit(exchange) : SILENCE_RECHECK_US);
     exchange_arm_timer(exchange);
 }
 
@@ -253,7 +253,7 @@
     set_times(exchange);
     struct caller_times *times = edge_route_times(edge, route->name);
     exchange->is_client_retry =
-        times && caller_returns(times, head->deadline_ms, exchange->arrived_at);
+        times && caller_is_returning(times, head->deadline_ms, exchange->arrived_at);
     uv_timer_init(edge->loop, &exchange->timer);
     exchange->timer.data = exchange;
     edge->active++;
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -20,7 +20,7 @@
 /** Retry-After while engines are full. The moving share covers about one second of requests; a
  * fifth of them refused means that engines will stay full for a while. */
 static const struct come_back_settings full_retry_settings = {
-    .weight = 0.05, .lasting_share = 0.2, .least_ms = 500, .most_ms = 1200, .spread_share = 65};
+    .weight = 0.05, .saturation_share = 0.2, .min_ms = 500, .max_ms = 1200, .jitter_percent = 65};
 
 /* Body of the response to a request that crashes backends. It has no Retry-After, as the request
  * would crash the next backend too. */
@@ -222,7 +222,7 @@
 {
     come_back_count(&exchange->service_state->come_back, &full_retry_settings, !found);
     if (!exchange->is_client_retry)
-        overload_count(&exchange->service_state->overload, !found, cluster_now());
+        overload_record(&exchange->service_state->overload, !found, cluster_now());
 }
 
 static uint32_t retry_after_ms(struct exchange *exchange)
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -24,7 +24,7 @@
 {
     const struct crash_table *table = crash_table_of(exchange);
     return crash_table_count(table) &&
-           crash_table_isolates(table, exchange_identity(exchange), cluster_now());
+           crash_table_requires_isolation(table, exchange_identity(exchange), cluster_now());
 }
 
 static void record_hold(struct exchange *exchange, const char *reason)
@@ -45,7 +45,7 @@
  * would meet all the other requests that were running there. */
 static bool awaits_crash_check(struct exchange *exchange, const struct crash_entry *entry)
 {
-    return exchange->suspected && entry && entry->start_count &&
+    return exchange->suspected && entry && entry->crash_count &&
            crash_watch_is_checking(exchange->edge, exchange_last_tried(exchange));
 }
 
@@ -59,7 +59,8 @@
     if (!entry)
         return 0;
     if (now < crash_entry_settled_at(entry) &&
-        crash_table_judge(crash_table_of(exchange), &entry->identity, now) == CRASH_BLOCKED) {
+        crash_table_verdict(crash_table_of(exchange), &entry->identity, now) ==
+            CRASH_VERDICT_BLOCKED) {
         record_hold(exchange, "verdict-not-settled");
         return crash_entry_settled_at(entry);
     }
@@ -93,10 +94,11 @@
     criteria->isolated = is_isolated(exchange);
     criteria->barred_starts = barred;
     criteria->barred_count =
-        crash_table_barred(crash_table_of(exchange), &entry->identity, now, barred);
+        crash_table_leased_to_others(crash_table_of(exchange), &entry->identity, now, barred);
     if (!criteria->isolated)
         return;
-    criteria->leased_start = crash_lease_is_valid(&entry->lease, now) ? entry->lease.start : 0;
+    criteria->leased_start =
+        crash_lease_is_valid(&entry->lease, now) ? entry->lease.incarnation : 0;
     if (criteria->barred_count)
         record_hold(exchange, "others-run-apart");
 }
@@ -117,12 +119,12 @@
 {
     if (!is_isolated(exchange))
         return 0;
-    uint64_t start = crash_start_key(backend->listing.id, backend->listing.born);
-    struct crash_lease lease =
-        crash_table_lease(crash_table_of(exchange), exchange_identity(exchange), start, now);
+    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
+    struct crash_lease lease = crash_table_acquire_lease(crash_table_of(exchange),
+                                                         exchange_identity(exchange), start, now);
     log_lease(exchange, backend, &lease, now);
     crash_sync_tell(exchange->edge->cluster.crashes);
-    return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_SETTLES_US;
+    return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_PROPAGATION_US;
 }
 
 /* A begun stream may be held until its deadline; any other request is refused at once if it cannot
--- a/src/edge/exchange_response.c
+++ b/src/edge/exchange_response.c
@@ -117,8 +117,8 @@
     if (!exchange->streaming)
         begin_stream(exchange, message);
     if (!exchange->resuming)
-        stream_length_learn(&exchange->service_state->stream_length, exchange->head.tokens_guess,
-                            cluster_now() - exchange->sent_at);
+        stream_length_record(&exchange->service_state->stream_length, exchange->head.tokens_guess,
+                             cluster_now() - exchange->sent_at);
     exchange_end_attempt(exchange, BACKEND_SUCCEEDED);
     exchange_clear_suspicion(exchange);
     count_done(exchange->edge);
@@ -162,7 +162,7 @@
 {
     struct attempt_facts facts = exchange_facts(exchange, cluster_now());
     facts.may_have_run = true;
-    return status >= FIRST_SERVER_ERROR && attempt_may_follow(&facts) &&
+    return status >= FIRST_SERVER_ERROR && attempt_may_retry(&facts) &&
            exchange_has_alternative(exchange, 0);
 }
 
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -55,8 +55,8 @@
 {
     if (exchange->route->kind != ROUTE_STREAM || exchange->resuming)
         return 0;
-    return stream_length_expect(&exchange->service_state->stream_length,
-                                exchange->head.tokens_guess);
+    return stream_length_expected_us(&exchange->service_state->stream_length,
+                                     exchange->head.tokens_guess);
 }
 
 static void fill_criteria(struct exchange *exchange, uint64_t now,
@@ -203,7 +203,7 @@
     }
     exchange->awaiting_crash_check = false;
     struct attempt_facts facts = exchange_facts(exchange, now);
-    if (attempt_may_follow(&facts))
+    if (attempt_may_retry(&facts))
         return true;
     exchange_fail_by_run_state(exchange, exchange->retry_reason);
     return false;
@@ -261,14 +261,14 @@
                                  uint64_t now)
 {
     uint64_t backoff_end = absence == BACKEND_NONE ? exchange_backoff_end(exchange, now) : 0;
-    if (!place_wait_is_over(absence, backoff_end, exchange->wait_until, now) &&
+    if (!place_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
         exchange->tried_count < BACKEND_MAX_EXCLUDED)
         return false;
     exchange->no_backend = absence == BACKEND_NONE && !exchange->tried_count;
     if (absence == BACKEND_FULL && !exchange->held)
         exchange_record_slot_result(exchange, false);
     else if (absence == BACKEND_NONE)
-        overload_absent(&exchange->service_state->overload);
+        overload_reset(&exchange->service_state->overload);
     exchange_fail_by_run_state(exchange, no_slot_reason(exchange, absence, backoff_end));
     return true;
 }
@@ -290,7 +290,7 @@
     }
     if (fail_if_wait_is_over(exchange, absence, now))
         return;
-    if (exchange->is_client_retry && overload_lasts(&exchange->service_state->overload, now))
+    if (exchange->is_client_retry && overload_is_sustained(&exchange->service_state->overload, now))
         wait_outside_queue(exchange, now);
     else
         exchange_enqueue(exchange);
@@ -388,10 +388,10 @@
     uint64_t now = cluster_now();
     struct attempt_facts facts = exchange_facts(exchange, now);
     exchange->awaiting_crash_check =
-        exchange->streaming && !attempt_may_follow(&facts) &&
+        exchange->streaming && !attempt_may_retry(&facts) &&
         crash_watch_is_checking(exchange->edge, exchange_last_tried(exchange));
     exchange->retry_reason = reason;
-    if ((!attempt_may_follow(&facts) && !exchange->awaiting_crash_check) ||
+    if ((!attempt_may_retry(&facts) && !exchange->awaiting_crash_check) ||
         (!exchange->streaming && !take_from_retry_budget(exchange, now))) {
         exchange_fail_by_run_state(exchange, reason);
         return;
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -39,8 +39,8 @@
 {
     const struct crash_table *table = crash_table_of(exchange);
     if (!crash_table_count(table))
-        return CRASH_NO_SUSPECT;
-    return crash_table_judge(table, exchange_identity(exchange), cluster_now());
+        return CRASH_VERDICT_NONE;
+    return crash_table_verdict(table, exchange_identity(exchange), cluster_now());
 }
 
 /* Logs the keys and ages of the crashes on which the verdict rests. */
@@ -52,10 +52,10 @@
     char identity[REQUEST_IDENTITY_HEX_SIZE];
     char ends[CRASHES_TEXT_SIZE] = "";
     size_t length = 0;
-    for (uint32_t i = 0; i < entry->start_count && length < sizeof ends; i++)
+    for (uint32_t i = 0; i < entry->crash_count && length < sizeof ends; i++)
         length += (size_t)snprintf(ends + length, sizeof ends - length, "%s%08" PRIx32 "@%" PRIu64,
-                                   i ? "," : "", (uint32_t)entry->starts[i].start,
-                                   (now - entry->starts[i].ended_at) / US_PER_MS);
+                                   i ? "," : "", (uint32_t)entry->crashes[i].incarnation,
+                                   (now - entry->crashes[i].ended_at) / US_PER_MS);
     request_identity_to_hex(&exchange->identity, identity);
     log_event(LOG_LEVEL_WARN, "crash", "blocked",
               "request=%s identity=%s unexplained=%u proofs=%u ends_ms_ago=%s", exchange->head.id,
@@ -64,7 +64,7 @@
 
 bool exchange_is_blocked(struct exchange *exchange)
 {
-    if (crash_verdict_of(exchange) != CRASH_BLOCKED)
+    if (crash_verdict_of(exchange) != CRASH_VERDICT_BLOCKED)
         return false;
     const struct crash_entry *entry =
         crash_table_find(crash_table_of(exchange), &exchange->identity);
@@ -83,7 +83,7 @@
 
 uint64_t exchange_isolation_key(struct exchange *exchange)
 {
-    if (!exchange->suspected && crash_verdict_of(exchange) == CRASH_NO_SUSPECT)
+    if (!exchange->suspected && crash_verdict_of(exchange) == CRASH_VERDICT_NONE)
         return 0;
     const struct request_identity *identity = exchange_identity(exchange);
     return hash_bytes(identity->bytes, sizeof identity->bytes) | 1;
@@ -107,20 +107,21 @@
                                 exchange->sent_at);
 }
 
-/* \return time for which its last backend ran it, if that resumed a stream; CRASH_RAN_WHOLE
+/* \return time for which its last backend ran it, if that resumed a stream; CRASH_FULL_RUN
  * otherwise */
 static uint64_t run_time_us(const struct exchange *exchange)
 {
     bool is_resumed = exchange->resuming || exchange->head.last_event_id[0];
-    return is_resumed ? cluster_now() - exchange->sent_at : CRASH_RAN_WHOLE;
+    return is_resumed ? cluster_now() - exchange->sent_at : CRASH_FULL_RUN;
 }
 
 void exchange_clear_suspicion(struct exchange *exchange)
 {
     struct crash_table *table = crash_table_of(exchange);
     char hex[REQUEST_IDENTITY_HEX_SIZE];
-    if (!crash_table_count(table) || !crash_table_clear(table, exchange_identity(exchange),
-                                                        cluster_now(), run_time_us(exchange)))
+    if (!crash_table_count(table) ||
+        !crash_table_record_success(table, exchange_identity(exchange), cluster_now(),
+                                    run_time_us(exchange)))
         return;
     request_identity_to_hex(exchange_identity(exchange), hex);
     log_event(LOG_LEVEL_INFO, "crash", "cleared", "request=%s identity=%s", exchange->head.id, hex);
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -7,7 +7,7 @@
 #include "cluster/crash_page.h"
 #include "cluster/process.h"
 #include "core/hash.h"
-#include "core/start_turn.h"
+#include "core/staggered_start.h"
 #include "loader/wanted_versions.h"
 #include "net/http_caller.h"
 
@@ -31,8 +31,8 @@
 /** Times derived from the ages in messages are accurate to this. */
 #define PREDECESSOR_TIME_TOLERANCE_US 50000
 
-static const struct start_turn_settings rollout_schedule = {.first_us = 2000000,
-                                                            .last_us = 6800000};
+static const struct staggered_start_settings rollout_schedule = {.first_us = 2000000,
+                                                                 .last_us = 6800000};
 
 struct loader {
     struct process process;
@@ -87,9 +87,10 @@
     if (!loader->report.load.version)
         return 0; /* an engine without weights serves no requests: at once */
     uint32_t position = rollout_position(loader, &count);
-    return start_turn(&rollout_schedule,
-                      wanted_versions_announced_at(&loader->versions, loader->report.load.version),
-                      position, count);
+    return staggered_start_at(
+        &rollout_schedule,
+        wanted_versions_announced_at(&loader->versions, loader->report.load.version), position,
+        count);
 }
 
 /* --- engine load ------------------------------------------------------------------------------ */
--- a/tests/core/repeat_budget_test.c
+++ b/tests/core/repeat_budget_test.c
@@ -1,4 +1,4 @@
-/* The shared budget of repeats, in every sliding window. */
+/* The shared repeat budget, checked in sliding windows over all gateways. */
 #include "testing.h"
 
 #include "core/random.h"
@@ -13,13 +13,13 @@
 static const struct repeat_budget_settings settings = {
     .ratio = 0.2, .allowance = 100, .window_us = 10 * SECOND_US};
 
-/* Repeats and requests of all gateways in steps of 10 ms. */
+/* Requests and repeats of all gateways, by step of 10 ms. */
 struct counts {
     uint32_t requests[SECONDS * 100];
     uint32_t repeats[SECONDS * 100];
 };
 
-static void play(struct counts *counts, uint64_t seed, bool bursts)
+static void run_gateways(struct counts *counts, uint64_t seed, bool bursts)
 {
     struct repeat_budget budgets[GATEWAYS];
     struct random_stream random = {seed, 0};
@@ -32,7 +32,7 @@
             struct repeat_budget *budget = &budgets[random_below(&random, GATEWAYS)];
             repeat_budget_earn(budget, now);
             counts->requests[step]++;
-            /* Every request fails and wants to be repeated. */
+            /* Every request fails and asks for a repeat. */
             counts->repeats[step] += repeat_budget_spend(budget, now, GATEWAYS);
         }
     }
@@ -50,17 +50,17 @@
     }
 }
 
-static void no_window_of_all_gateways_passes_the_bound(void **state)
+static void all_gateways_together_keep_the_bound_in_any_window(void **state)
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         struct counts *counts = calloc(1, sizeof *counts);
-        play(counts, seed, seed % 2 == 0);
+        run_gateways(counts, seed, seed % 2 == 0);
         check_windows(counts);
         free(counts);
     }
 }
 
-static void an_idle_gateway_may_repeat_a_little(void **state)
+static void idle_gateway_may_spend_its_allowance(void **state)
 {
     struct repeat_budget budget;
     uint64_t now = 50 * SECOND_US;
@@ -68,7 +68,7 @@
     repeat_budget_init(&budget, &settings, now);
     while (repeat_budget_spend(&budget, now + 20 * SECOND_US, GATEWAYS))
         spent++;
-    assert_int_equal(spent, 13); /* 0.8 of its sixth of 100 */
+    assert_int_equal(spent, 13); /* 0.8 of its sixth of the allowance of 100 */
     assert_false(repeat_budget_spend(&budget, now + 29 * SECOND_US, GATEWAYS));
     assert_true(repeat_budget_spend(&budget, now + 31 * SECOND_US, GATEWAYS));
 }
@@ -76,8 +76,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(no_window_of_all_gateways_passes_the_bound),
-        cmocka_unit_test(an_idle_gateway_may_repeat_a_little),
+        cmocka_unit_test(all_gateways_together_keep_the_bound_in_any_window),
+        cmocka_unit_test(idle_gateway_may_spend_its_allowance),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
