--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -48,7 +48,7 @@
     return store_watch_removal(&reader->watch, own_gap, cluster_now());
 }
 
-static void take_items(struct store_reader *reader, const struct store_answer *answer)
+static void take_items(struct store_reader *reader, const struct store_response *answer)
 {
     struct state_cache *state = reader->cluster->state;
     struct state_removal loss = loss_now(reader);
@@ -63,7 +63,7 @@
 }
 
 /* \return the revision of the whole once all of its pages are in, else 0 */
-static uint64_t take_page(struct store_reader *reader, const struct store_answer *answer)
+static uint64_t take_page(struct store_reader *reader, const struct store_response *answer)
 {
     struct state_cache *state = reader->cluster->state;
     if (!reader->page_key[0]) {
@@ -83,7 +83,7 @@
     return reader->page_revision;
 }
 
-static uint64_t take_changes(struct store_reader *reader, const struct store_answer *answer)
+static uint64_t take_changes(struct store_reader *reader, const struct store_response *answer)
 {
     take_items(reader, answer);
     return answer->revision;
@@ -95,7 +95,7 @@
     uv_timer_start(&reader->timer, on_timer, reader_role_batch_delay_ms(reader->duty, bound_ms), 0);
 }
 
-static void take_answer(struct store_reader *reader, const struct store_answer *answer)
+static void take_answer(struct store_reader *reader, const struct store_response *answer)
 {
     bool whole = !reader->watch.revision;
     uint64_t revision = whole ? take_page(reader, answer) : take_changes(reader, answer);
@@ -127,7 +127,7 @@
 static void on_answer(void *context, enum call_result result, const struct http_message *message)
 {
     struct store_reader *reader = context;
-    struct store_answer answer;
+    struct store_response answer;
     char reason[64];
     if (reader->duty == READER_INACTIVE)
         return;
@@ -143,17 +143,17 @@
         call_store(reader);
         return;
     }
-    if (status != 200 ||
-        platform_read_store_answer(message->body.data, message->body.size, &answer) != STATUS_OK) {
+    if (status != 200 || platform_read_store_response(message->body.data, message->body.size,
+                                                      &answer) != STATUS_OK) {
         snprintf(reason, sizeof reason, "status %u", status);
         on_failure(reader, STORE_UNAVAILABLE, reason);
         return;
     }
-    if (answer.left_out)
+    if (answer.skipped)
         log_event(LOG_LEVEL_ERROR, "store", "left-out", "items=%u of=%u revision=%" PRIu64,
-                  answer.left_out, answer.left_out + answer.count, answer.revision);
+                  answer.skipped, answer.skipped + answer.count, answer.revision);
     take_answer(reader, &answer);
-    store_answer_clear(&answer);
+    store_response_clear(&answer);
 }
 
 static void call_store(struct store_reader *reader)
@@ -167,10 +167,11 @@
                                      .done = on_answer,
                                      .context = reader};
     if (call.watches)
-        platform_write_watch_call(PLATFORM_ALL_KEYS, reader->watch.revision, call.wait_ms, &target);
+        platform_write_watch_target(PLATFORM_ALL_KEYS, reader->watch.revision, call.wait_ms,
+                                    &target);
     else
-        platform_write_range_call(PLATFORM_ALL_KEYS, reader->page_key[0] ? reader->page_key : NULL,
-                                  &target);
+        platform_write_range_target(PLATFORM_ALL_KEYS,
+                                    reader->page_key[0] ? reader->page_key : NULL, &target);
     buffer_append(&target, "", 1);
     request.target = target.data;
     metric_add(METRIC_PLATFORM_CALLS, 1);
--- a/src/edge/backend_feedback.c
+++ b/src/edge/backend_feedback.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Another backend instance uses the address now; its headers say nothing about `backend`. */
-static bool is_from_other_instance(const struct backend *backend, const struct answer_head *head)
+static bool is_from_other_instance(const struct backend *backend, const struct response_head *head)
 {
     return head->instance[0] && strcmp(head->instance, backend->listing.id) != 0;
 }
@@ -22,30 +22,31 @@
               backend->listing.draining, backend->in_flight);
 }
 
-static void log_backoff(const struct backend *backend, const struct answer_head *head, uint64_t now)
+static void log_backoff(const struct backend *backend, const struct response_head *head,
+                        uint64_t now)
 {
     metric_add(METRIC_BACKOFFS, 1);
     log_event(LOG_LEVEL_INFO, "backend", "backs-off",
               "id=%s born=%" PRIu64 " request=%s status=%u asked_ms=%" PRIu64 " for_ms=%" PRIu64
               " in_flight=%u",
-              backend->listing.id, backend->listing.born, head->request_id, head->facts.status,
-              head->facts.retry_after_ms, (backend->backoff_until - now) / 1000,
+              backend->listing.id, backend->listing.born, head->request_id, head->properties.status,
+              head->properties.retry_after_ms, (backend->backoff_until - now) / 1000,
               backend->in_flight);
 }
 
 void backend_feedback_from_response(struct edge *edge, struct backend *backend,
-                                    const struct answer_head *head)
+                                    const struct response_head *head)
 {
     uint64_t now = cluster_now();
-    if (head->unreadable)
+    if (head->malformed_field)
         log_event(LOG_LEVEL_WARN, "backend", "unreadable-field", "id=%s request=%s field=%s",
-                  backend->listing.id, head->request_id, head->unreadable);
+                  backend->listing.id, head->request_id, head->malformed_field);
     if (is_from_other_instance(backend, head))
         return;
     struct backend_statement statement = {
-        .leaving = head->facts.leaving,
-        .backoff_us = answer_backoff_us(&head->facts),
-        .works = classify_answer(&head->facts) == ANSWER_SUCCEEDED,
+        .leaving = head->properties.leaving,
+        .backoff_us = answer_backoff_us(&head->properties),
+        .works = classify_answer(&head->properties) == ANSWER_SUCCEEDED,
     };
     struct backend_statement_effect change =
         backend_pool_apply_statement(edge->pool, backend, &statement, now);
--- a/src/edge/backend_feedback.h
+++ b/src/edge/backend_feedback.h
@@ -9,7 +9,7 @@
 
 /** \brief Applies the headers of a response that came on a connection to the backend. */
 void backend_feedback_from_response(struct edge *edge, struct backend *backend,
-                                    const struct answer_head *head);
+                                    const struct response_head *head);
 /**
  * \brief Applies a load report that the machine of a model engine sent.
  * \return false if no backend is listed at `address`, or if the report is from an earlier start
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -106,8 +106,8 @@
                                  const struct service_request *request)
 {
     struct edge *edge = context;
-    bool known = platform_call_of(request->method, request->target, request->target_length) ==
-                 PLATFORM_CALL_READY;
+    bool known = platform_match_endpoint(request->method, request->target,
+                                         request->target_length) == PLATFORM_ENDPOINT_READY;
     service_reply(call, !known ? 404 : is_ready(edge) ? 200 : 503, NULL, NULL, 0);
 }
 
--- a/src/edge/edge_addresses.c
+++ b/src/edge/edge_addresses.c
@@ -29,7 +29,7 @@
 
 /* Adds gateways that accept new clients; with `same_zone` only those in the zone of `question`.
  */
-static void collect_addresses(struct edge *edge, const struct address_question *question,
+static void collect_addresses(struct edge *edge, const struct address_query *question,
                               bool same_zone, struct address_list *list)
 {
     struct membership *members = edge->cluster.membership;
@@ -44,7 +44,7 @@
     }
 }
 
-static void choose_addresses(struct edge *edge, const struct address_question *question,
+static void choose_addresses(struct edge *edge, const struct address_query *question,
                              struct address_list *list)
 {
     collect_addresses(edge, question, true, list);
@@ -58,14 +58,14 @@
                                  const struct service_request *request)
 {
     struct address_list list = {.count = 0};
-    struct address_question question;
+    struct address_query question;
     struct buffer body = {0};
-    if (platform_call_of(request->method, request->target, request->target_length) !=
-        PLATFORM_CALL_ADDRESSES) {
+    if (platform_match_endpoint(request->method, request->target, request->target_length) !=
+        PLATFORM_ENDPOINT_ADDRESSES) {
         service_reply(call, 404, NULL, NULL, 0);
         return;
     }
-    platform_read_address_question(request->target, request->target_length, &question);
+    platform_read_address_query(request->target, request->target_length, &question);
     choose_addresses(edge, &question, &list);
     platform_write_addresses(list.pointers, list.count, ADDRESS_MAX_AGE_S, &body);
     service_reply(call, 200, "application/json", body.data, body.size);
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -140,7 +140,7 @@
 /** A response as far as it was received, with its decoded headers once they are complete. */
 struct upstream_response {
     struct http_message message;
-    struct answer_head head;
+    struct response_head head;
 };
 
 /** \brief Handles an event of the upstream connection, which is detached from the exchange by then,
@@ -154,7 +154,7 @@
 bool exchange_write_request(struct exchange *exchange, struct buffer *bytes);
 /** \return whether this response belongs to another request and must be skipped */
 bool exchange_is_mismatched_response(const struct exchange *exchange,
-                                     const struct answer_head *head);
+                                     const struct response_head *head);
 
 /* --- Connections to backends: upstream.c --- */
 
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -265,9 +265,9 @@
     struct request_head head;
     const struct http_message *request = edge_client_request(client);
     platform_read_request(request, &head);
-    if (head.unreadable)
+    if (head.malformed_field)
         log_event(LOG_LEVEL_WARN, "client", "unreadable-field", "request=%s field=%s", head.id,
-                  head.unreadable);
+                  head.malformed_field);
     if (!edge->table) {
         reject_early(edge, client, &head, 503, "no-configuration");
         return NULL;
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -163,7 +163,7 @@
     if (!backend)
         return;
     if (!exchange->first_byte_received_at)
-        backend_request_answered(backend, exchange->head.tokens_in, 0, now);
+        backend_request_answered(backend, exchange->head.prompt_tokens, 0, now);
     uint64_t latency = exchange->first_byte_received_at && !exchange->resuming
                            ? exchange->first_byte_received_at - exchange->sent_at
                            : 0;
@@ -249,7 +249,7 @@
     struct buffer head = {0};
     buffer_append_format(&head, "HTTP/1.1 %u %s\r\n", status,
                          http_status_str((enum http_status)status));
-    platform_write_own_answer(request_id, wait_ms, &head);
+    platform_write_own_response(request_id, wait_ms, &head);
     if (text[0])
         buffer_append_text(&head, "Content-Type: text/plain\r\n");
     edge_client_send_response(client, &head, text, strlen(text));
--- a/src/edge/exchange_response.c
+++ b/src/edge/exchange_response.c
@@ -12,7 +12,7 @@
 #define FIRST_SERVER_ERROR 500
 
 bool exchange_is_mismatched_response(const struct exchange *exchange,
-                                     const struct answer_head *head)
+                                     const struct response_head *head)
 {
     return exchange->head.id[0] && strcmp(head->request_id, exchange->head.id) != 0;
 }
@@ -22,7 +22,7 @@
     unsigned status = http_message_status(message);
     buffer_append_format(head, "HTTP/1.1 %u %s\r\n", status,
                          http_status_str((enum http_status)status));
-    platform_write_answer(message, head);
+    platform_write_response(message, head);
 }
 
 static void count_done(struct edge *edge)
@@ -83,7 +83,7 @@
     exchange->first_byte_received_at = cluster_now();
     if (exchange->route->kind == ROUTE_STREAM && !exchange->streaming)
         metric_observe(METRIC_FIRST_EVENT, exchange->first_byte_received_at - exchange->arrived_at);
-    backend_request_answered(exchange->backend, exchange->head.tokens_in,
+    backend_request_answered(exchange->backend, exchange->head.prompt_tokens,
                              exchange->first_byte_received_at - exchange->sent_at,
                              exchange->first_byte_received_at);
 }
@@ -92,7 +92,7 @@
 {
     note_first_byte(exchange);
     if (exchange->route->kind != ROUTE_STREAM ||
-        classify_answer(&response->head.facts) != ANSWER_SUCCEEDED)
+        classify_answer(&response->head.properties) != ANSWER_SUCCEEDED)
         return; /* buffered until it is complete */
     if (!exchange->version)
         exchange->version = response->head.version;
@@ -117,7 +117,8 @@
     if (!exchange->streaming)
         begin_stream(exchange, message);
     if (!exchange->resuming)
-        stream_length_record(&exchange->service_state->stream_length, exchange->head.tokens_guess,
+        stream_length_record(&exchange->service_state->stream_length,
+                             exchange->head.expected_output_tokens,
                              cluster_now() - exchange->sent_at);
     exchange_end_attempt(exchange, BACKEND_SUCCEEDED);
     exchange_clear_suspicion(exchange);
@@ -127,7 +128,7 @@
     edge_client_stream_end(client);
 }
 
-static void on_misdirected(struct exchange *exchange, const struct answer_head *head)
+static void on_misdirected(struct exchange *exchange, const struct response_head *head)
 {
     struct backend *backend = exchange->backend;
     if (!head->instance[0] || strcmp(head->instance, backend->listing.id) == 0)
@@ -195,7 +196,7 @@
         exchange_on_attempt_failed(exchange, BACKEND_ERROR, END_RESUME_REFUSED);
         return;
     }
-    if (should_retry_after_error(exchange, response->head.facts.status)) {
+    if (should_retry_after_error(exchange, response->head.properties.status)) {
         exchange_end_attempt(exchange, BACKEND_ERROR);
         exchange->may_have_run = true;
         exchange_retry(exchange, END_BACKEND_ERROR);
@@ -207,16 +208,16 @@
 
 static void on_complete(struct exchange *exchange, struct upstream_response *response)
 {
-    switch (classify_answer(&response->head.facts)) {
+    switch (classify_answer(&response->head.properties)) {
     case ANSWER_SUCCEEDED:
         on_delivered(exchange, response);
         break;
     case ANSWER_NOT_RUN:
-        on_not_run(exchange, &response->head.facts, BACKEND_REFUSED, END_REFUSED);
+        on_not_run(exchange, &response->head.properties, BACKEND_REFUSED, END_REFUSED);
         break;
     case ANSWER_MISDIRECTED:
         on_misdirected(exchange, &response->head);
-        on_not_run(exchange, &response->head.facts, BACKEND_CANCELLED, END_MISDIRECTED);
+        on_not_run(exchange, &response->head.properties, BACKEND_CANCELLED, END_MISDIRECTED);
         break;
     case ANSWER_UNVERIFIED:
         exchange_on_attempt_failed(exchange, BACKEND_BROKEN, END_NO_SEAL);
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -56,7 +56,7 @@
     if (exchange->route->kind != ROUTE_STREAM || exchange->resuming)
         return 0;
     return stream_length_expected_us(&exchange->service_state->stream_length,
-                                     exchange->head.tokens_guess);
+                                     exchange->head.expected_output_tokens);
 }
 
 static void fill_criteria(struct exchange *exchange, uint64_t now,
@@ -65,7 +65,7 @@
     *criteria = (struct backend_criteria){
         .service = exchange->service->name,
         .engine = exchange->service->engine.model != NULL,
-        .tokens = exchange->head.tokens_in,
+        .tokens = exchange->head.prompt_tokens,
         .mean_prompt_tokens = exchange->service->engine.mean_prompt_tokens,
         .prefill_tokens_per_ms = exchange->service->engine.prefill_tokens_per_ms,
         .min_version = required_version_at(exchange, now),
@@ -175,7 +175,7 @@
     metric_observe(METRIC_PLACE_WAIT, now - exchange->arrived_at);
     if (backend->load_at)
         metric_observe(METRIC_LOAD_AGE, now - backend->load_at);
-    backend_request_started(backend, exchange->head.tokens_in, now);
+    backend_request_started(backend, exchange->head.prompt_tokens, now);
     exchange->upstream = upstream_send(exchange->edge, backend, exchange, most_idle);
     if (exchange->upstream)
         exchange_arm_timer(exchange);
--- a/src/edge/upstream.c
+++ b/src/edge/upstream.c
@@ -139,7 +139,7 @@
     if (upstream->head_read || !response->message.head_complete)
         return;
     upstream->head_read = true;
-    platform_read_answer(&response->message, &response->head);
+    platform_read_response(&response->message, &response->head);
     backend_feedback_from_response(upstream->edge, upstream->backend, &response->head);
 }
 
@@ -160,8 +160,8 @@
 /* \return whether the message is the final response to the current request */
 static bool is_expected_response(struct upstream *upstream)
 {
-    const struct answer_head *head = &upstream->response.head;
-    return head->facts.status >= FIRST_FINAL_STATUS &&
+    const struct response_head *head = &upstream->response.head;
+    return head->properties.status >= FIRST_FINAL_STATUS &&
            !exchange_is_mismatched_response(upstream->exchange, head);
 }
 
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -162,9 +162,9 @@
 /* The engine says in the head of each response whether it is shutting down. */
 static bool announces_shutdown(const struct http_message *message)
 {
-    struct answer_head head;
-    platform_read_answer(message, &head);
-    return head.facts.leaving;
+    struct response_head head;
+    platform_read_response(message, &head);
+    return head.properties.leaving;
 }
 
 static void log_shutdown_change(const struct loader *loader, bool leaving)
--- a/src/loader/piece_store.c
+++ b/src/loader/piece_store.c
@@ -29,7 +29,7 @@
 static void on_manifest_known(void *context)
 {
     struct piece_store *store = context;
-    piece_server_advance(store->server, cluster_now());
+    piece_server_answer_waiting(store->server, cluster_now());
 }
 
 static void on_piece_held(void *context, uint32_t piece)
@@ -75,7 +75,7 @@
 
 void piece_store_pause_fetch(struct piece_store *store, bool held_back)
 {
-    piece_fetch_hold_back(store->fetch, held_back);
+    piece_fetch_set_paused(store->fetch, held_back);
 }
 
 bool piece_store_half_held(const struct piece_store *store)
@@ -101,12 +101,12 @@
                   "version=%" PRIu64 " mbit=%.2f nominal_mbit=%.2f", piece_set_version(store->set),
                   rate->estimated, rate->nominal);
     store->link_is_slow = slow;
-    piece_fetch_set_lanes(store->fetch, connections_per_source(store));
+    piece_fetch_set_connections(store->fetch, connections_per_source(store));
 }
 
 uint64_t piece_store_last_piece_at(const struct piece_store *store)
 {
-    return piece_fetch_progress_at(store->fetch);
+    return piece_fetch_last_progress(store->fetch);
 }
 
 void piece_store_tick(struct piece_store *store, uint64_t now)
@@ -134,7 +134,7 @@
 bool piece_store_add(struct piece_store *store, uint32_t piece, const void *bytes, size_t size)
 {
     uint32_t number;
-    return piece_set_take(store->set, bytes, size, &number) == PIECE_NEW && number == piece;
+    return piece_set_add(store->set, bytes, size, &number) == PIECE_ADDED && number == piece;
 }
 
 bool piece_store_complete(const struct piece_store *store)
@@ -148,6 +148,6 @@
     if (wanted->version != piece_set_version(store->set) ||
         strcmp(wanted->model, piece_set_model(store->set)) != 0)
         return false;
-    piece_server_take(store->server, call, wanted, cluster_now());
+    piece_server_handle(store->server, call, wanted, cluster_now());
     return true;
 }
--- a/src/weights/piece_fetch.h
+++ b/src/weights/piece_fetch.h
@@ -19,9 +19,9 @@
 struct piece_fetch_callbacks {
     void *context;
     /** The manifest came. */
-    void (*manifest_known)(void *context);
+    void (*manifest_received)(void *context);
     /** A piece came and its digest is right. */
-    void (*piece_held)(void *context, uint32_t piece);
+    void (*piece_received)(void *context, uint32_t piece);
 };
 
 /** \param set must outlive the fetch */
@@ -31,14 +31,14 @@
 void piece_fetch_destroy(struct piece_fetch *fetch);
 /** \brief Say where the origin is; until then it is not asked. */
 void piece_fetch_set_origin(struct piece_fetch *fetch, const struct sockaddr_in *origin);
-/** \brief Connections to each source from now on, at most PIECE_LANES_MOST. */
-void piece_fetch_set_lanes(struct piece_fetch *fetch, uint32_t lanes);
+/** \brief Connections to each source from now on, at most PIECE_MAX_CONNECTIONS. */
+void piece_fetch_set_connections(struct piece_fetch *fetch, uint32_t connections);
 /** \brief Ask for no more pieces for now, or go on. The manifest is fetched all the same. */
-void piece_fetch_hold_back(struct piece_fetch *fetch, bool held_back);
+void piece_fetch_set_paused(struct piece_fetch *fetch, bool paused);
 /** \brief Time-outs, rests and changes of the plan; call some ten times a second. */
 void piece_fetch_tick(struct piece_fetch *fetch, uint64_t now);
 /** \return time of the last piece, 0: none came yet */
-uint64_t piece_fetch_progress_at(const struct piece_fetch *fetch);
+uint64_t piece_fetch_last_progress(const struct piece_fetch *fetch);
 /** \brief The machine's link as the transfers show it. */
 struct link_rate *piece_fetch_link(struct piece_fetch *fetch);
 
--- a/src/weights/piece_server.c
+++ b/src/weights/piece_server.c
@@ -9,12 +9,12 @@
 #include <string.h>
 
 /** Calls that wait at once; each node has a few connections. */
-#define CALLS_MOST 2048
-#define STATUS_ABSENT 404
-#define STATUS_NOT_IN_TIME 409
-#define STATUS_BUSY 429
+#define WAITING_CALLS_MAX 2048
+#define HTTP_STATUS_NOT_FOUND 404
+#define HTTP_STATUS_NOT_READY 409
+#define HTTP_STATUS_TOO_MANY_REQUESTS 429
 /** Answers may leave so much ahead of their pace, as timers are no finer. */
-#define PACE_SLACK_US 2000
+#define PACING_SLACK_US 2000
 
 struct waiting_call {
     struct service_call *call;
@@ -56,7 +56,7 @@
 void piece_server_destroy(struct piece_server *server)
 {
     for (uint32_t i = 0; i < server->count; i++)
-        service_reply(server->waiting[i].call, STATUS_ABSENT, NULL, NULL, 0);
+        service_reply(server->waiting[i].call, HTTP_STATUS_NOT_FOUND, NULL, NULL, 0);
     server->count = 0;
     uv_close((uv_handle_t *)&server->timer, on_timer_closed);
 }
@@ -66,7 +66,7 @@
 {
     const struct piece_manifest *manifest = piece_set_manifest(server->set);
     uint32_t count = manifest ? manifest->count : 0;
-    for (uint32_t i = 0; i < count && i < PIECES_MOST; i++) {
+    for (uint32_t i = 0; i < count && i < PIECE_MAX_COUNT; i++) {
         size_t size;
         if (bitmap_get(wanted->wanted, i) && piece_set_data(server->set, i, &size))
             return i;
@@ -94,7 +94,7 @@
             (server->count - index) * sizeof *server->waiting);
 }
 
-static void count_on_link(struct piece_server *server, size_t size, uint64_t now)
+static void reserve_link_time(struct piece_server *server, size_t size, uint64_t now)
 {
     if (server->bits_per_us <= 0)
         return;
@@ -105,7 +105,7 @@
 
 /* Peers give a call up after a while and ask again: answered to nobody, it would take the link's
  * time from the call that follows it. */
-static void drop_gone(struct piece_server *server)
+static void drop_abandoned_calls(struct piece_server *server)
 {
     for (uint32_t i = 0; i < server->count;) {
         struct service_call *call = server->waiting[i].call;
@@ -114,13 +114,13 @@
             continue;
         }
         remove_call(server, i);
-        service_reply(call, STATUS_ABSENT, NULL, NULL, 0);
+        service_reply(call, HTTP_STATUS_NOT_FOUND, NULL, NULL, 0);
     }
 }
 
-void piece_server_advance(struct piece_server *server, uint64_t now)
+void piece_server_answer_waiting(struct piece_server *server, uint64_t now)
 {
-    drop_gone(server);
+    drop_abandoned_calls(server);
     for (uint32_t i = 0; i < server->count;) {
         size_t size;
         const void *bytes = find_answer(server, &server->waiting[i].wanted, &size);
@@ -128,14 +128,14 @@
             i++;
             continue;
         }
-        if (server->link_free_at > now + PACE_SLACK_US) {
-            uint64_t wait_us = server->link_free_at - now - PACE_SLACK_US;
+        if (server->link_free_at > now + PACING_SLACK_US) {
+            uint64_t wait_us = server->link_free_at - now - PACING_SLACK_US;
             uv_timer_start(&server->timer, on_link_free, wait_us / 1000 + 1, 0);
             return;
         }
         struct waiting_call answered = server->waiting[i];
         remove_call(server, i);
-        count_on_link(server, size, now);
+        reserve_link_time(server, size, now);
         if (answered.wanted.kind == PIECE_CALL_PIECE)
             metric_add(METRIC_CHUNKS_SERVED, 1);
         service_reply(answered.call, 200, "application/octet-stream", bytes, size);
@@ -145,19 +145,19 @@
 static void on_link_free(uv_timer_t *timer)
 {
     struct piece_server *server = timer->data;
-    piece_server_advance(server, clock_monotonic_us());
+    piece_server_answer_waiting(server, clock_monotonic_us());
 }
 
-void piece_server_take(struct piece_server *server, struct service_call *call,
-                       const struct piece_call *wanted, uint64_t now)
+void piece_server_handle(struct piece_server *server, struct service_call *call,
+                         const struct piece_call *wanted, uint64_t now)
 {
-    if (server->count == CALLS_MOST) {
-        service_reply(call, STATUS_BUSY, NULL, NULL, 0);
+    if (server->count == WAITING_CALLS_MAX) {
+        service_reply(call, HTTP_STATUS_TOO_MANY_REQUESTS, NULL, NULL, 0);
         return;
     }
     server->waiting = memory_resize(server->waiting, (server->count + 1) * sizeof *server->waiting);
     server->waiting[server->count++] = (struct waiting_call){call, *wanted, now + server->wait_us};
-    piece_server_advance(server, now);
+    piece_server_answer_waiting(server, now);
     if (!server->wait_us)
         piece_server_tick(server, now);
 }
@@ -173,6 +173,6 @@
         }
         struct service_call *call = waiting->call;
         remove_call(server, i);
-        service_reply(call, STATUS_NOT_IN_TIME, NULL, NULL, 0);
+        service_reply(call, HTTP_STATUS_NOT_READY, NULL, NULL, 0);
     }
 }
--- a/src/weights/piece_server.h
+++ b/src/weights/piece_server.h
@@ -24,10 +24,10 @@
 /** \brief Refuse what waits, and free the server. */
 void piece_server_destroy(struct piece_server *server);
 /** \brief Answer a call for this version, now or later. */
-void piece_server_take(struct piece_server *server, struct service_call *call,
-                       const struct piece_call *wanted, uint64_t now);
+void piece_server_handle(struct piece_server *server, struct service_call *call,
+                         const struct piece_call *wanted, uint64_t now);
 /** \brief The manifest or another piece is there. */
-void piece_server_advance(struct piece_server *server, uint64_t now);
+void piece_server_answer_waiting(struct piece_server *server, uint64_t now);
 /** \brief Refuse calls that waited too long; call several times in each `wait_us`. */
 void piece_server_tick(struct piece_server *server, uint64_t now);
 
--- a/src/weights/piece_set.c
+++ b/src/weights/piece_set.c
@@ -15,7 +15,7 @@
 struct piece_set {
     char model[BACKEND_NAME_SIZE];
     uint64_t version;
-    uint64_t rollout;
+    uint64_t version_key;
     struct piece_manifest manifest;
     char *manifest_body; /* NULL: not known yet */
     size_t manifest_size;
@@ -28,7 +28,7 @@
     struct piece_set *set = memory_zero(1, sizeof *set);
     snprintf(set->model, sizeof set->model, "%s", model);
     set->version = version;
-    set->rollout = hash_pair(hash_name(model), version);
+    set->version_key = hash_pair(hash_name(model), version);
     return set;
 }
 
@@ -52,12 +52,12 @@
     return set->version;
 }
 
-uint64_t piece_set_rollout(const struct piece_set *set)
+uint64_t piece_set_version_key(const struct piece_set *set)
 {
-    return set->rollout;
+    return set->version_key;
 }
 
-enum status piece_set_take_manifest(struct piece_set *set, const char *body, size_t size)
+enum status piece_set_add_manifest(struct piece_set *set, const char *body, size_t size)
 {
     struct piece_manifest manifest;
     if (set->manifest_body)
@@ -90,7 +90,7 @@
 }
 
 /* \return number of a piece with a digest, one that is not held if there is any; else the count */
-static uint32_t find_digest(const struct piece_set *set, const struct digest *digest)
+static uint32_t find_by_digest(const struct piece_set *set, const struct digest *digest)
 {
     uint32_t found = set->manifest.count;
     for (uint32_t i = 0; i < set->manifest.count; i++) {
@@ -103,21 +103,21 @@
     return found;
 }
 
-enum piece_verdict piece_set_take(struct piece_set *set, const void *bytes, size_t size,
-                                  uint32_t *piece)
+enum piece_add_result piece_set_add(struct piece_set *set, const void *bytes, size_t size,
+                                    uint32_t *piece)
 {
     struct digest digest = digest_of(bytes, size);
-    *piece = find_digest(set, &digest);
+    *piece = find_by_digest(set, &digest);
     if (*piece == set->manifest.count)
-        return PIECE_FOREIGN;
+        return PIECE_UNKNOWN;
     struct piece *place = &set->pieces[*piece];
     if (place->data)
-        return PIECE_KNOWN;
+        return PIECE_DUPLICATE;
     place->data = memory_copy(bytes, size);
     place->size = size;
     set->held++;
     metric_add(METRIC_CHUNK_BYTES, size);
-    return PIECE_NEW;
+    return PIECE_ADDED;
 }
 
 const uint8_t *piece_set_data(const struct piece_set *set, uint32_t piece, size_t *size)
--- a/src/weights/piece_set.h
+++ b/src/weights/piece_set.h
@@ -10,10 +10,10 @@
 
 struct piece_set;
 
-enum piece_verdict {
-    PIECE_NEW,     /**< taken */
-    PIECE_KNOWN,   /**< held already */
-    PIECE_FOREIGN, /**< its digest is none of this version's */
+enum piece_add_result {
+    PIECE_ADDED,     /**< taken */
+    PIECE_DUPLICATE, /**< held already */
+    PIECE_UNKNOWN,   /**< its digest is none of this version's */
 };
 
 struct piece_set *piece_set_create(const char *model, uint64_t version);
@@ -21,19 +21,19 @@
 const char *piece_set_model(const struct piece_set *set);
 uint64_t piece_set_version(const struct piece_set *set);
 /** \return key of the version for rendezvous hashing */
-uint64_t piece_set_rollout(const struct piece_set *set);
+uint64_t piece_set_version_key(const struct piece_set *set);
 
 /** \brief Take the manifest as it came. \return STATUS_INVALID when it is not one of this version
  */
-enum status piece_set_take_manifest(struct piece_set *set, const char *body, size_t size);
+enum status piece_set_add_manifest(struct piece_set *set, const char *body, size_t size);
 /** \return NULL before it is known */
 const struct piece_manifest *piece_set_manifest(const struct piece_set *set);
 /** \brief The manifest as it came. \return NULL before it is known */
 const char *piece_set_manifest_body(const struct piece_set *set, size_t *size);
 
 /** \brief Take a piece, known by its digest. \param piece gets its number unless foreign */
-enum piece_verdict piece_set_take(struct piece_set *set, const void *bytes, size_t size,
-                                  uint32_t *piece);
+enum piece_add_result piece_set_add(struct piece_set *set, const void *bytes, size_t size,
+                                    uint32_t *piece);
 /** \return NULL when not held */
 const uint8_t *piece_set_data(const struct piece_set *set, uint32_t piece, size_t *size);
 /** \return pieces held */
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -5,25 +5,25 @@
 #include <stdlib.h>
 
 /** Rest of a source after its first failure in a row; twice as long with each further one. */
-#define REST_FIRST_US 150000
-#define REST_DOUBLINGS_MOST 4
-#define REST_MOST_US 1200000
+#define BACKOFF_INITIAL_US 150000
+#define BACKOFF_DOUBLINGS_MAX 4
+#define BACKOFF_MAX_US 1200000
 /** Rest of the origin after a spoilt or broken piece: there is no other one. */
-#define REST_ORIGIN_US 50000
+#define ORIGIN_BACKOFF_US 50000
 /** Loaders ask the origin only after so long without a piece. */
-#define ORIGIN_AFTER_US 1500000
+#define ORIGIN_FALLBACK_US 1500000
 /** Time between looks at who lives. */
 #define PLAN_INTERVAL_US 100000
 /** A connection to the origin, which accepts few, is closed after so long without use. */
-#define ORIGIN_IDLE_US 250000
+#define ORIGIN_IDLE_TIMEOUT_US 250000
 /** A node that sent no byte for so long is gone: it answers a call sooner, if only to refuse it. */
-#define FIRST_BYTE_US 700000
+#define FIRST_BYTE_TIMEOUT_US 700000
 /** Just after a start a node does not know most others: it waits for that before it chooses
  * sources, for so long at most. Else many more gateways become relays, and the origin gives more
  * copies. */
-#define SETTLE_US 300000
+#define MEMBERSHIP_WAIT_US 300000
 /** Loaders take pieces from relays of their region, whose members they know before all others. */
-#define LOADER_SETTLED_SHARE 0.5
+#define LOADER_KNOWN_FRACTION_MIN 0.5
 
 struct piece_sources {
     struct cluster *cluster;
@@ -33,14 +33,14 @@
     struct sockaddr_in origin;
     bool has_origin;
     struct relay_plan plan;
-    uint64_t next_plan;
+    uint64_t next_refresh;
     uint64_t created_at;
-    bool settled;                  /* the plan is that of others too */
-    struct relay_sources manifest; /* for relays */
-    struct relay_sources *lists;   /* of each piece; loaders have one for all */
-    uint32_t spread;               /* relays that share a loader's pieces */
-    uint32_t list_count;
-    bool lists_name_origin;
+    bool membership_known;            /* the plan is that of others too */
+    struct relay_sources manifest;    /* for relays */
+    struct relay_sources *candidates; /* of each piece; loaders have one for all */
+    uint32_t parallel_relays;         /* relays that share a loader's pieces */
+    uint32_t candidates_count;
+    bool includes_origin;
     struct piece_source **items; /* all that were ever named: some of the relays' number */
     uint32_t count;
 };
@@ -59,10 +59,10 @@
 
 static void free_source(struct piece_source *source)
 {
-    for (uint32_t i = 0; i < PIECE_LANES_MOST; i++) {
-        if (source->lanes[i])
-            http_caller_destroy(source->lanes[i]->caller);
-        free(source->lanes[i]);
+    for (uint32_t i = 0; i < PIECE_MAX_CONNECTIONS; i++) {
+        if (source->connections[i])
+            http_caller_destroy(source->connections[i]->caller);
+        free(source->connections[i]);
     }
     free(source);
 }
@@ -72,7 +72,7 @@
     for (uint32_t i = 0; i < sources->count; i++)
         free_source(sources->items[i]);
     free(sources->items);
-    free(sources->lists);
+    free(sources->candidates);
     free(sources);
 }
 
@@ -82,7 +82,7 @@
     sources->has_origin = true;
 }
 
-static struct piece_source *find(struct piece_sources *sources, uint32_t address)
+static struct piece_source *find_or_add_source(struct piece_sources *sources, uint32_t address)
 {
     for (uint32_t i = 0; i < sources->count; i++)
         if (sources->items[i]->address == address)
@@ -95,74 +95,77 @@
     return source;
 }
 
-struct piece_lane *piece_sources_lane(struct piece_sources *sources, struct piece_source *source,
-                                      uint32_t index)
+struct piece_connection *piece_sources_connect(struct piece_sources *sources,
+                                               struct piece_source *source, uint32_t index)
 {
-    struct piece_lane *lane = source->lanes[index];
-    if (lane)
-        return lane;
+    struct piece_connection *connection = source->connections[index];
+    if (connection)
+        return connection;
     struct sockaddr_in address = source->address == RELAY_ORIGIN
                                      ? sources->origin
                                      : cluster_address(sources->cluster, source->address);
-    lane = memory_zero(1, sizeof *lane);
-    lane->owner = sources->owner;
-    lane->source = source;
-    lane->index = index;
-    lane->caller = http_caller_create(sources->cluster->loop, &address);
-    source->lanes[index] = lane;
-    return lane;
+    connection = memory_zero(1, sizeof *connection);
+    connection->owner = sources->owner;
+    connection->source = source;
+    connection->index = index;
+    connection->caller = http_caller_create(sources->cluster->loop, &address);
+    source->connections[index] = connection;
+    return connection;
 }
 
-void piece_source_rest(struct piece_source *source, uint64_t now)
+void piece_source_back_off(struct piece_source *source, uint64_t now)
 {
     uint32_t doublings =
-        source->failures < REST_DOUBLINGS_MOST ? source->failures : REST_DOUBLINGS_MOST;
-    uint64_t length = REST_FIRST_US << doublings;
+        source->failures < BACKOFF_DOUBLINGS_MAX ? source->failures : BACKOFF_DOUBLINGS_MAX;
+    uint64_t length = BACKOFF_INITIAL_US << doublings;
     source->failures++;
     if (source->address == RELAY_ORIGIN)
-        length = REST_ORIGIN_US;
-    source->rests_until = now + (length < REST_MOST_US ? length : REST_MOST_US);
+        length = ORIGIN_BACKOFF_US;
+    source->backoff_until = now + (length < BACKOFF_MAX_US ? length : BACKOFF_MAX_US);
 }
 
-void piece_source_not_yet(struct piece_source *source, uint64_t now)
+void piece_source_not_ready(struct piece_source *source, uint64_t now)
 {
-    source->rests_until = now + REST_FIRST_US;
+    source->backoff_until = now + BACKOFF_INITIAL_US;
 }
 
 /* --- choice --------------------------------------------------------------------------------------
  */
 
-void piece_sources_set_spread(struct piece_sources *sources, uint32_t relays)
+void piece_sources_set_parallel_relays(struct piece_sources *sources, uint32_t relays)
 {
-    sources->spread = relays;
+    sources->parallel_relays = relays;
 }
 
-void piece_sources_list(struct piece_sources *sources, uint64_t silent_us)
+void piece_sources_update(struct piece_sources *sources, uint64_t since_progress_us)
 {
     const struct piece_manifest *manifest = piece_set_manifest(sources->set);
     bool relays = sources->role == PIECE_ROLE_RELAY;
-    sources->list_count = relays && manifest ? manifest->count : 1;
-    sources->lists_name_origin = silent_us > ORIGIN_AFTER_US;
-    sources->lists = memory_resize(sources->lists, sources->list_count * sizeof *sources->lists);
-    for (uint32_t i = 0; relays && i < sources->list_count; i++)
-        relay_plan_relay_sources(&sources->plan, i, &sources->lists[i]);
+    sources->candidates_count = relays && manifest ? manifest->count : 1;
+    sources->includes_origin = since_progress_us > ORIGIN_FALLBACK_US;
+    sources->candidates =
+        memory_resize(sources->candidates, sources->candidates_count * sizeof *sources->candidates);
+    for (uint32_t i = 0; relays && i < sources->candidates_count; i++)
+        relay_plan_relay_sources(&sources->plan, i, &sources->candidates[i]);
     if (relays)
         relay_plan_manifest_sources(&sources->plan, &sources->manifest);
     if (!relays)
-        relay_plan_loader_sources(&sources->plan, sources->lists_name_origin, &sources->lists[0]);
+        relay_plan_loader_sources(&sources->plan, sources->includes_origin,
+                                  &sources->candidates[0]);
 }
 
 /* \return the first source of a list that does not rest, near ones from a place on; NULL: none */
-static struct piece_source *choose(struct piece_sources *sources, const struct relay_sources *list,
-                                   uint32_t first, uint64_t now)
+static struct piece_source *choose_from(struct piece_sources *sources,
+                                        const struct relay_sources *list, uint32_t first,
+                                        uint64_t now)
 {
     for (uint32_t i = 0; i < list->count; i++) {
         uint32_t place = i < list->near ? (first + i) % list->near : i;
         uint32_t address = list->addresses[place];
         if (address == RELAY_ORIGIN && !sources->has_origin)
             continue;
-        struct piece_source *source = find(sources, address);
-        if (now >= source->rests_until)
+        struct piece_source *source = find_or_add_source(sources, address);
+        if (now >= source->backoff_until)
             return source;
     }
     return NULL;
@@ -171,11 +174,13 @@
 struct piece_source *piece_sources_choose(struct piece_sources *sources, uint32_t piece,
                                           uint64_t now)
 {
-    if (!sources->list_count)
+    if (!sources->candidates_count)
         return NULL;
-    const struct relay_sources *list = &sources->lists[piece < sources->list_count ? piece : 0];
-    uint32_t sharing = list->near < sources->spread ? list->near : sources->spread;
-    return choose(sources, list, sharing ? piece % sharing : 0, now);
+    const struct relay_sources *list =
+        &sources->candidates[piece < sources->candidates_count ? piece : 0];
+    uint32_t sharing =
+        list->near < sources->parallel_relays ? list->near : sources->parallel_relays;
+    return choose_from(sources, list, sharing ? piece % sharing : 0, now);
 }
 
 /*
@@ -184,10 +189,10 @@
  */
 struct piece_source *piece_sources_choose_manifest(struct piece_sources *sources, uint64_t now)
 {
-    if (!sources->list_count)
+    if (!sources->candidates_count)
         return NULL;
     bool relays = sources->role == PIECE_ROLE_RELAY;
-    return choose(sources, relays ? &sources->manifest : &sources->lists[0], 0, now);
+    return choose_from(sources, relays ? &sources->manifest : &sources->candidates[0], 0, now);
 }
 
 uint64_t piece_sources_weight(const struct piece_sources *sources, uint32_t piece)
@@ -207,52 +212,53 @@
 {
     uint32_t count = 0;
     for (uint32_t i = 0; i < sources->count; i++)
-        for (uint32_t j = 0; j < PIECE_LANES_MOST; j++) {
-            const struct piece_lane *lane = sources->items[i]->lanes[j];
-            count += lane && lane->busy && http_caller_is_receiving(lane->caller);
+        for (uint32_t j = 0; j < PIECE_MAX_CONNECTIONS; j++) {
+            const struct piece_connection *connection = sources->items[i]->connections[j];
+            count += connection && connection->busy && http_caller_is_receiving(connection->caller);
         }
     return count;
 }
 
-static void tick_lane(struct piece_lane *lane, uint64_t now)
+static void tick_connection(struct piece_connection *connection, uint64_t now)
 {
-    bool is_silent = lane->busy && now > lane->asked_at + FIRST_BYTE_US &&
-                     !http_caller_is_receiving(lane->caller);
-    if (lane->source->address == RELAY_ORIGIN)
-        http_caller_rest(lane->caller, ORIGIN_IDLE_US);
+    bool is_silent = connection->busy && now > connection->requested_at + FIRST_BYTE_TIMEOUT_US &&
+                     !http_caller_is_receiving(connection->caller);
+    if (connection->source->address == RELAY_ORIGIN)
+        http_caller_rest(connection->caller, ORIGIN_IDLE_TIMEOUT_US);
     else if (is_silent)
-        http_caller_abort(lane->caller);
+        http_caller_abort(connection->caller);
 }
 
-static void refresh_plan(struct piece_sources *sources, uint64_t silent_us, uint64_t now)
+static void refresh_plan(struct piece_sources *sources, uint64_t since_progress_us, uint64_t now)
 {
-    bool origin_is_due = silent_us > ORIGIN_AFTER_US;
-    if (now < sources->next_plan && origin_is_due == sources->lists_name_origin)
+    bool origin_is_due = since_progress_us > ORIGIN_FALLBACK_US;
+    if (now < sources->next_refresh && origin_is_due == sources->includes_origin)
         return;
-    sources->next_plan = now + PLAN_INTERVAL_US;
+    sources->next_refresh = now + PLAN_INTERVAL_US;
     relay_plan_refresh(&sources->plan, sources->cluster->membership,
-                       piece_set_rollout(sources->set));
-    piece_sources_list(sources, silent_us);
+                       piece_set_version_key(sources->set));
+    piece_sources_update(sources, since_progress_us);
 }
 
-static bool is_settled(struct piece_sources *sources, uint64_t now)
+static bool is_membership_known(struct piece_sources *sources, uint64_t now)
 {
     struct membership *membership = sources->cluster->membership;
     bool knows_enough = sources->role == PIECE_ROLE_RELAY
                             ? membership_is_converged(membership)
-                            : membership_known_fraction(membership) >= LOADER_SETTLED_SHARE;
-    sources->settled = sources->settled || knows_enough || now >= sources->created_at + SETTLE_US;
-    return sources->settled;
+                            : membership_known_fraction(membership) >= LOADER_KNOWN_FRACTION_MIN;
+    sources->membership_known = sources->membership_known || knows_enough ||
+                                now >= sources->created_at + MEMBERSHIP_WAIT_US;
+    return sources->membership_known;
 }
 
-void piece_sources_tick(struct piece_sources *sources, uint64_t silent_us, uint64_t now)
+void piece_sources_tick(struct piece_sources *sources, uint64_t since_progress_us, uint64_t now)
 {
-    if (!is_settled(sources, now))
+    if (!is_membership_known(sources, now))
         return;
     if (!piece_set_complete(sources->set))
-        refresh_plan(sources, silent_us, now);
+        refresh_plan(sources, since_progress_us, now);
     for (uint32_t i = 0; i < sources->count; i++)
-        for (uint32_t j = 0; j < PIECE_LANES_MOST; j++)
-            if (sources->items[i]->lanes[j])
-                tick_lane(sources->items[i]->lanes[j], now);
+        for (uint32_t j = 0; j < PIECE_MAX_CONNECTIONS; j++)
+            if (sources->items[i]->connections[j])
+                tick_connection(sources->items[i]->connections[j], now);
 }
--- a/src/weights/piece_wire.h
+++ b/src/weights/piece_wire.h
@@ -14,8 +14,8 @@
 #include "net/http_service.h"
 
 /** Pieces of one version at most. */
-#define PIECES_MOST 4096
-#define PIECE_BITMAP_WORDS (PIECES_MOST / 64)
+#define PIECE_MAX_COUNT 4096
+#define PIECE_BITMAP_WORDS (PIECE_MAX_COUNT / 64)
 
 enum piece_call_kind { PIECE_CALL_OTHER, PIECE_CALL_MANIFEST, PIECE_CALL_PIECE };
 
--- a/src/weights/weight_relay.c
+++ b/src/weights/weight_relay.c
@@ -11,28 +11,28 @@
 
 /** Versions held at once, all models together: the one in use, one on its way, and one named
  *  meanwhile. Bounds the memory for weights. */
-#define VERSIONS_MOST 3
+#define RELAY_MAX_VERSIONS 3
 /** A call for what is not here yet waits for so long; its caller takes longer silence for a loss.
  */
-#define CALL_WAIT_US 300000
+#define PIECE_WAIT_US 300000
 /** Share of the machine's link that pieces may take: the rest is for the requests of clients. */
-#define LINK_SHARE 0.7
+#define PIECE_LINK_FRACTION 0.7
 /** Connections to each source: one call is on its way while another one's answer comes. */
-#define LANES 2
+#define CONNECTIONS_PER_SOURCE 2
 
 /* A version that is held or on its way. */
 struct relayed_version {
     struct piece_set *set;
     struct piece_fetch *fetch;
     struct piece_server *server;
-    uint64_t asked_at; /* time of the last call for it */
+    uint64_t requested_at; /* time of the last call for it */
 };
 
 struct weight_relay {
     struct cluster *cluster;
     struct sockaddr_in origin;
     bool has_origin;
-    struct relayed_version *versions[VERSIONS_MOST];
+    struct relayed_version *versions[RELAY_MAX_VERSIONS];
     uint32_t count;
 };
 
@@ -51,19 +51,19 @@
         piece_fetch_set_origin(relay->versions[i]->fetch, origin);
 }
 
-static void on_manifest_known(void *context)
+static void on_manifest_received(void *context)
 {
     struct relayed_version *version = context;
-    piece_server_advance(version->server, cluster_now());
+    piece_server_answer_waiting(version->server, cluster_now());
 }
 
-static void on_piece_held(void *context, uint32_t piece)
+static void on_piece_received(void *context, uint32_t piece)
 {
     struct relayed_version *version = context;
-    piece_server_advance(version->server, cluster_now());
+    piece_server_answer_waiting(version->server, cluster_now());
 }
 
-static void drop(struct weight_relay *relay, uint32_t index)
+static void remove_version(struct weight_relay *relay, uint32_t index)
 {
     struct relayed_version *version = relay->versions[index];
     log_event(LOG_LEVEL_INFO, "relay", "version-dropped", "model=%s version=%" PRIu64,
@@ -76,28 +76,29 @@
 }
 
 /* The version that was asked for longest ago makes room. */
-static void make_room(struct weight_relay *relay)
+static void evict_version(struct weight_relay *relay)
 {
     uint32_t oldest = 0;
-    if (relay->count < VERSIONS_MOST)
+    if (relay->count < RELAY_MAX_VERSIONS)
         return;
     for (uint32_t i = 1; i < relay->count; i++)
-        if (relay->versions[i]->asked_at < relay->versions[oldest]->asked_at)
+        if (relay->versions[i]->requested_at < relay->versions[oldest]->requested_at)
             oldest = i;
-    drop(relay, oldest);
+    remove_version(relay, oldest);
 }
 
-static struct relayed_version *add(struct weight_relay *relay, const char *model, uint64_t number)
+static struct relayed_version *add_version(struct weight_relay *relay, const char *model,
+                                           uint64_t number)
 {
-    make_room(relay);
+    evict_version(relay);
     struct relayed_version *version = memory_zero(1, sizeof *version);
-    struct piece_fetch_callbacks callbacks = {version, on_manifest_known, on_piece_held};
+    struct piece_fetch_callbacks callbacks = {version, on_manifest_received, on_piece_received};
     double link = strtod(relay->cluster->settings->link_mbit, NULL);
     version->set = piece_set_create(model, number);
-    version->server =
-        piece_server_create(relay->cluster->loop, version->set, LINK_SHARE * link, CALL_WAIT_US);
+    version->server = piece_server_create(relay->cluster->loop, version->set,
+                                          PIECE_LINK_FRACTION * link, PIECE_WAIT_US);
     version->fetch = piece_fetch_create(relay->cluster, version->set, PIECE_ROLE_RELAY, &callbacks);
-    piece_fetch_set_lanes(version->fetch, LANES);
+    piece_fetch_set_connections(version->fetch, CONNECTIONS_PER_SOURCE);
     if (relay->has_origin)
         piece_fetch_set_origin(version->fetch, &relay->origin);
     relay->versions[relay->count++] = version;
@@ -106,7 +107,8 @@
     return version;
 }
 
-static struct relayed_version *find(struct weight_relay *relay, const char *model, uint64_t number)
+static struct relayed_version *find_version(struct weight_relay *relay, const char *model,
+                                            uint64_t number)
 {
     for (uint32_t i = 0; i < relay->count; i++)
         if (piece_set_version(relay->versions[i]->set) == number &&
@@ -123,12 +125,12 @@
     piece_wire_read(request, &wanted);
     if (wanted.kind == PIECE_CALL_OTHER)
         return false;
-    struct relayed_version *version = find(relay, wanted.model, wanted.version);
+    struct relayed_version *version = find_version(relay, wanted.model, wanted.version);
     bool is_new = !version;
     if (is_new)
-        version = add(relay, wanted.model, wanted.version);
-    version->asked_at = now;
-    piece_server_take(version->server, call, &wanted, now);
+        version = add_version(relay, wanted.model, wanted.version);
+    version->requested_at = now;
+    piece_server_handle(version->server, call, &wanted, now);
     if (is_new)
         piece_fetch_tick(version->fetch, now);
     return true;
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -35,11 +35,11 @@
 
 static void read_store(const char *text, size_t size)
 {
-    struct store_answer answer;
-    if (platform_read_store_answer(text, size, &answer) == STATUS_OK)
+    struct store_response answer;
+    if (platform_read_store_response(text, size, &answer) == STATUS_OK)
         for (uint32_t i = 0; i < answer.count; i++)
             assert(answer.items[i].key && (answer.items[i].value || !answer.items[i].size));
-    store_answer_clear(&answer);
+    store_response_clear(&answer);
 }
 
 static void read_configuration(const char *text, size_t size)
--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -20,7 +20,7 @@
     "\"idle_timeout_ms\":15000},"
     "\"tenants\":[{\"name\":\"t\",\"keys\":[\"k1\",\"k2\"],\"priority\":1}]}";
 
-static void a_configuration_is_read_whole(void **state)
+static void configuration_is_parsed_completely(void **state)
 {
     struct findings findings = {0};
     struct route_table *table =
@@ -47,7 +47,7 @@
     route_table_release(table);
 }
 
-static size_t findings_of(const char *text)
+static size_t count_findings(const char *text)
 {
     struct findings findings = {0};
     struct route_table *table = platform_parse_configuration(text, strlen(text), &findings);
@@ -57,38 +57,39 @@
     return count;
 }
 
-static void all_problems_of_a_configuration_are_found_together(void **state)
+static void all_configuration_errors_are_reported_together(void **state)
 {
-    assert_int_equal(findings_of("{\"version\":7,"), 1);
-    assert_int_equal(findings_of("{\"version\":\"x\",\"routes\":[]}"), 1);
+    assert_int_equal(count_findings("{\"version\":7,"), 1);
+    assert_int_equal(count_findings("{\"version\":\"x\",\"routes\":[]}"), 1);
     assert_int_equal(
-        findings_of("{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\","
-                    "\"path_prefix\":\"/x\",\"kind\":\"streaming\",\"service\":\"s\"},"
-                    "{\"name\":\"b\",\"host\":\"h\",\"path_prefix\":\"/x/\",\"kind\":\"odd\"}]}"),
+        count_findings(
+            "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\","
+            "\"path_prefix\":\"/x\",\"kind\":\"streaming\",\"service\":\"s\"},"
+            "{\"name\":\"b\",\"host\":\"h\",\"path_prefix\":\"/x/\",\"kind\":\"odd\"}]}"),
         2);
 }
 
-static void store_answers_are_decoded(void **state)
+static void store_responses_are_decoded(void **state)
 {
     static const char body[] =
         "{\"items\":[{\"private_key\":\"op/config\",\"value\":\"aGVsbG8=\",\"revision\":4,"
         "\"made\":4,\"lease\":0}],\"more\":true,\"at\":9}";
     static const char events[] = "{\"events\":[{\"private_key\":\"servers/i\",\"revision\":5,"
                                  "\"gone\":true}],\"at\":6}";
-    struct store_answer answer;
-    assert_int_equal(platform_read_store_answer(body, strlen(body), &answer), STATUS_OK);
-    assert_int_equal(answer.revision, 9);
-    assert_true(answer.more);
-    assert_string_equal(answer.items[0].value, "hello");
-    assert_int_equal(answer.items[0].size, 5);
-    store_answer_clear(&answer);
-    assert_int_equal(platform_read_store_answer(events, strlen(events), &answer), STATUS_OK);
-    assert_true(answer.items[0].gone);
-    store_answer_clear(&answer);
-    assert_int_not_equal(platform_read_store_answer("{}", 2, &answer), STATUS_OK);
-    store_answer_clear(&answer);
-    assert_int_not_equal(platform_read_store_answer("x", 1, &answer), STATUS_OK);
-    store_answer_clear(&answer);
+    struct store_response response;
+    assert_int_equal(platform_read_store_response(body, strlen(body), &response), STATUS_OK);
+    assert_int_equal(response.revision, 9);
+    assert_true(response.more);
+    assert_string_equal(response.items[0].value, "hello");
+    assert_int_equal(response.items[0].size, 5);
+    store_response_clear(&response);
+    assert_int_equal(platform_read_store_response(events, strlen(events), &response), STATUS_OK);
+    assert_true(response.items[0].gone);
+    store_response_clear(&response);
+    assert_int_not_equal(platform_read_store_response("{}", 2, &response), STATUS_OK);
+    store_response_clear(&response);
+    assert_int_not_equal(platform_read_store_response("x", 1, &response), STATUS_OK);
+    store_response_clear(&response);
 }
 
 static void parse_request(struct http_message *message, const char *text)
@@ -104,7 +105,7 @@
     return memmem(bytes->data, bytes->size, text, strlen(text)) != NULL;
 }
 
-static void keys_and_forged_fields_do_not_reach_a_back_end(void **state)
+static void client_keys_and_forged_fields_are_not_forwarded(void **state)
 {
     struct http_message message;
     struct request_head head;
@@ -119,8 +120,8 @@
     assert_string_equal(head.id, "9c");
     assert_string_equal(head.key, "secret");
     assert_int_equal(head.deadline_ms, 900);
-    assert_int_equal(head.tokens_in, 1460);
-    assert_int_equal(head.tokens_out, 80);
+    assert_int_equal(head.prompt_tokens, 1460);
+    assert_int_equal(head.max_output_tokens, 80);
     struct forward_head forward = {
         .deadline_ms = 850, .instance = "i-1", .tenant = "true", .urgency = -1};
     platform_write_request(&message, &forward, &bytes);
@@ -153,21 +154,21 @@
 }
 
 /* A caller without any time left had the whole time-out of the route. */
-static void a_deadline_of_no_time_is_told_from_none(void **state)
+static void zero_deadline_differs_from_absent_deadline(void **state)
 {
     struct request_head none = head_with_deadline("0");
     assert_true(none.has_deadline);
     assert_int_equal(none.deadline_ms, 0);
     assert_int_equal(head_with_deadline("12.7").deadline_ms, 12);
-    assert_null(none.unreadable);
+    assert_null(none.malformed_field);
     static const char *const malformed[] = {"", "soon", "-5", "5e3", "9999999999999"};
     for (size_t i = 0; i < sizeof malformed / sizeof *malformed; i++) {
         assert_false(head_with_deadline(malformed[i]).has_deadline);
-        assert_non_null(head_with_deadline(malformed[i]).unreadable);
+        assert_non_null(head_with_deadline(malformed[i]).malformed_field);
     }
 }
 
-static void a_resumed_stream_names_its_own_last_event(void **state)
+static void resumed_stream_overrides_last_event_id(void **state)
 {
     struct http_message message;
     struct buffer bytes = {0};
@@ -182,25 +183,25 @@
     http_message_clear(&message);
 }
 
-static void answers_of_back_ends_are_understood(void **state)
+static void backend_response_fields_are_parsed(void **state)
 {
     static const char text[] =
         "HTTP/1.1 503 Service Unavailable\r\nShuntrun-Not-Executed: 1\r\n"
         "Shuntrun-Request-Id: 9c\r\nShuntrun-Weight-Versions: 3\r\nKeep-Alive: timeout=7\r\n"
         "Shuntrun-Instance-Id: i-2\r\nContent-Length: 0\r\n\r\n";
     struct http_message message = {0};
-    struct answer_head head;
+    struct response_head head;
     struct buffer bytes = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
     http_message_feed(&message, text, strlen(text), &used);
-    platform_read_answer(&message, &head);
-    assert_true(head.facts.not_executed);
-    assert_false(head.facts.sealed);
+    platform_read_response(&message, &head);
+    assert_true(head.properties.not_executed);
+    assert_false(head.properties.sealed);
     assert_int_equal(head.version, 3);
     assert_int_equal(head.keep_alive_ms, 7000);
     assert_string_equal(head.instance, "i-2");
-    platform_write_answer(&message, &bytes);
+    platform_write_response(&message, &bytes);
     assert_false(contains(&bytes, "Keep-Alive"));
     assert_false(contains(&bytes, "Content-Length"));
     assert_true(contains(&bytes, "Shuntrun-Weight-Versions: 3\r\n"));
@@ -209,37 +210,37 @@
 }
 
 /* \return the head of an answer with this status line and these fields */
-static struct answer_head head_of(const char *status, const char *fields)
+static struct response_head parse_response_head(const char *status, const char *fields)
 {
     char text[512];
     struct http_message message = {0};
-    struct answer_head head;
+    struct response_head head;
     size_t used;
     snprintf(text, sizeof text, "HTTP/1.1 %s\r\n%sContent-Length: 0\r\n\r\n", status, fields);
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
     assert_int_equal(http_message_feed(&message, text, strlen(text), &used), HTTP_PARSE_DONE);
-    platform_read_answer(&message, &head);
+    platform_read_response(&message, &head);
     http_message_clear(&message);
     return head;
 }
 
-static void an_answer_says_that_its_back_end_leaves(void **state)
+static void server_leaving_field_is_parsed(void **state)
 {
-    assert_false(head_of("200 OK", "").facts.leaving);
-    assert_true(head_of("200 OK", "Server-Leaving: 1\r\n").facts.leaving);
-    assert_true(head_of("503 Full", "server-leaving:1\r\n").facts.leaving);
-    assert_false(head_of("200 OK", "Server-Leaving: 0\r\n").facts.leaving);
-    static const char *const unreadable[] = {"Server-Leaving: yes\r\n", "Server-Leaving: 11\r\n",
-                                             "Server-Leaving:\r\n",
-                                             "Server-Leaving: 1\r\nServer-Leaving: 0\r\n"};
-    for (size_t i = 0; i < sizeof unreadable / sizeof unreadable[0]; i++) {
-        struct answer_head head = head_of("200 OK", unreadable[i]);
-        assert_false(head.facts.leaving);
-        assert_string_equal(head.unreadable, "Server-Leaving");
+    assert_false(parse_response_head("200 OK", "").properties.leaving);
+    assert_true(parse_response_head("200 OK", "Server-Leaving: 1\r\n").properties.leaving);
+    assert_true(parse_response_head("503 Full", "server-leaving:1\r\n").properties.leaving);
+    assert_false(parse_response_head("200 OK", "Server-Leaving: 0\r\n").properties.leaving);
+    static const char *const malformed_field[] = {"Server-Leaving: yes\r\n",
+                                                  "Server-Leaving: 11\r\n", "Server-Leaving:\r\n",
+                                                  "Server-Leaving: 1\r\nServer-Leaving: 0\r\n"};
+    for (size_t i = 0; i < sizeof malformed_field / sizeof malformed_field[0]; i++) {
+        struct response_head head = parse_response_head("200 OK", malformed_field[i]);
+        assert_false(head.properties.leaving);
+        assert_string_equal(head.malformed_field, "Server-Leaving");
     }
 }
 
-static void an_answer_asks_for_a_time_without_requests(void **state)
+static void retry_after_field_is_parsed(void **state)
 {
     static const struct {
         const char *fields;
@@ -257,30 +258,30 @@
          "Retry-After: Thu, 03 Dec 2026 09:00:00 GMT\r\n",
          0},
     };
-    static const char *const unreadable[] = {"Retry-After: -3\r\n",
-                                             "Retry-After: 3 s\r\n",
-                                             "Retry-After: soon\r\n",
-                                             "Retry-After: 0x10\r\n",
-                                             "Retry-After: 1e3\r\n",
-                                             "Retry-After: 1.2.3\r\n",
-                                             "Retry-After: 31536001\r\n",
-                                             "Retry-After:\r\n",
-                                             "Retry-After: .\r\n",
-                                             "Retry-After: 1\r\nRetry-After: 2\r\n",
-                                             "Retry-After: Thu, 03 Dec 2026 10:00:20 GMT\r\n"};
+    static const char *const malformed_field[] = {"Retry-After: -3\r\n",
+                                                  "Retry-After: 3 s\r\n",
+                                                  "Retry-After: soon\r\n",
+                                                  "Retry-After: 0x10\r\n",
+                                                  "Retry-After: 1e3\r\n",
+                                                  "Retry-After: 1.2.3\r\n",
+                                                  "Retry-After: 31536001\r\n",
+                                                  "Retry-After:\r\n",
+                                                  "Retry-After: .\r\n",
+                                                  "Retry-After: 1\r\nRetry-After: 2\r\n",
+                                                  "Retry-After: Thu, 03 Dec 2026 10:00:20 GMT\r\n"};
     for (size_t i = 0; i < sizeof readable / sizeof readable[0]; i++) {
-        struct answer_head head = head_of("503 Full", readable[i].fields);
-        assert_int_equal(head.facts.retry_after_ms, readable[i].milliseconds);
-        assert_null(head.unreadable);
+        struct response_head head = parse_response_head("503 Full", readable[i].fields);
+        assert_int_equal(head.properties.retry_after_ms, readable[i].milliseconds);
+        assert_null(head.malformed_field);
     }
-    for (size_t i = 0; i < sizeof unreadable / sizeof unreadable[0]; i++) {
-        struct answer_head head = head_of("503 Full", unreadable[i]);
-        assert_int_equal(head.facts.retry_after_ms, 0);
-        assert_string_equal(head.unreadable, "Retry-After");
+    for (size_t i = 0; i < sizeof malformed_field / sizeof malformed_field[0]; i++) {
+        struct response_head head = parse_response_head("503 Full", malformed_field[i]);
+        assert_int_equal(head.properties.retry_after_ms, 0);
+        assert_string_equal(head.malformed_field, "Retry-After");
     }
 }
 
-static void an_engine_report_is_read(void **state)
+static void engine_report_is_parsed(void **state)
 {
     static const char text[] =
         "{\"stage\":\"both\",\"models\":[{\"name\":\"m\",\"version\":2}],\"utilization\":true,"
@@ -303,13 +304,13 @@
     "\"slots\":16,"                                                                                \
     "\"state\":\"ready\",\"cold_remaining_ms\":0,\"sequence\":4"
 
-static bool is_entry(const char *text, size_t size)
+static bool is_valid_entry(const char *text, size_t size)
 {
     struct backend_listing listing;
     return platform_parse_backend("i-1", text, size, &listing) == STATUS_OK;
 }
 
-static void an_entry_names_one_start_of_a_back_end(void **state)
+static void backend_entry_identifies_one_incarnation(void **state)
 {
     static const char text[] =
         ENTRY ",\"born\":1780000000123,\"models\":[{\"name\":\"m\",\"version\":3}],\"more\":{}}";
@@ -323,7 +324,7 @@
     assert_false(listing.draining);
 }
 
-static void an_entry_of_another_writer_names_none(void **state)
+static void malformed_backend_entries_are_rejected(void **state)
 {
     static const char *const entries[] = {
         "",
@@ -347,13 +348,13 @@
         ENTRY ",\"x\":\"\xff\"}",
     };
     for (size_t i = 0; i < sizeof entries / sizeof *entries; i++)
-        if (is_entry(entries[i], strlen(entries[i])))
+        if (is_valid_entry(entries[i], strlen(entries[i])))
             fail_msg("taken for an entry: %s", entries[i]);
-    assert_true(is_entry(ENTRY "}", strlen(ENTRY "}")));
+    assert_true(is_valid_entry(ENTRY "}", strlen(ENTRY "}")));
 }
 
 /* Each field in turn is left out, or of another type. */
-static void every_field_of_an_entry_is_checked(void **state)
+static void every_backend_entry_field_is_type_checked(void **state)
 {
     static const char *const fields[][2] = {
         {"\"service\":", "\"llm\""},
@@ -376,60 +377,60 @@
                 snprintf(text + strlen(text), sizeof text - strlen(text), ",%s%s", fields[i][0],
                          i == field ? wrong[value] : fields[i][1]);
             strcat(text, "}");
-            if (is_entry(text, strlen(text)))
+            if (is_valid_entry(text, strlen(text)))
                 fail_msg("taken for an entry: %s", text);
         }
 }
 
-static void every_field_of_an_entry_is_needed(void **state)
+static void every_backend_entry_field_is_required(void **state)
 {
     static const char *const fields[] = {"\"service\":\"llm\"", "\"address\":\"10.0.0.9:80\"",
                                          "\"zone\":\"z\"",      "\"version\":\"v1\"",
                                          "\"slots\":16",        "\"state\":\"ready\"",
                                          "\"sequence\":4",      "\"cold_remaining_ms\":0"};
-    for (size_t left_out = 0; left_out < sizeof fields / sizeof *fields; left_out++) {
+    for (size_t skipped = 0; skipped < sizeof fields / sizeof *fields; skipped++) {
         char text[512] = "{\"x\":0";
         for (size_t i = 0; i < sizeof fields / sizeof *fields; i++)
-            if (i != left_out)
+            if (i != skipped)
                 snprintf(text + strlen(text), sizeof text - strlen(text), ",%s", fields[i]);
         strcat(text, "}");
-        if (is_entry(text, strlen(text)))
+        if (is_valid_entry(text, strlen(text)))
             fail_msg("taken for an entry: %s", text);
     }
 }
 
-static void an_entry_that_is_large_or_nested_deep_names_none(void **state)
+static void oversized_or_deeply_nested_entries_are_rejected(void **state)
 {
     enum { LARGE = 1 << 20 };
     char *text = calloc(1, LARGE + 1);
     memset(text, '[', LARGE);
-    assert_false(is_entry(text, LARGE));
-    assert_false(is_entry(text, 10000));
+    assert_false(is_valid_entry(text, LARGE));
+    assert_false(is_valid_entry(text, 10000));
     memset(text, ' ', LARGE);
     memcpy(text + LARGE - strlen(ENTRY "}"), ENTRY "}", strlen(ENTRY "}"));
-    assert_false(is_entry(text, LARGE));
+    assert_false(is_valid_entry(text, LARGE));
     free(text);
 }
 
-static void a_value_that_cannot_be_read_leaves_the_others(void **state)
+static void undecodable_value_does_not_affect_other_items(void **state)
 {
     static const char body[] =
         "{\"items\":[{\"private_key\":\"servers/a\",\"value\":\"!!!\",\"revision\":4},"
         "{\"private_key\":\"servers/b\",\"value\":7,\"revision\":5},"
         "{\"private_key\":\"servers/c\",\"revision\":\"x\"},7,"
         "{\"private_key\":\"servers/d\",\"value\":\"aGVsbG8=\",\"revision\":6}],\"at\":9}";
-    struct store_answer answer;
-    assert_int_equal(platform_read_store_answer(body, strlen(body), &answer), STATUS_OK);
-    assert_int_equal(answer.count, 3);
-    assert_int_equal(answer.left_out, 2);
-    assert_null(answer.items[0].value);
-    assert_int_equal(answer.items[0].size, 0);
-    assert_null(answer.items[1].value);
-    assert_string_equal(answer.items[2].value, "hello");
-    store_answer_clear(&answer);
+    struct store_response response;
+    assert_int_equal(platform_read_store_response(body, strlen(body), &response), STATUS_OK);
+    assert_int_equal(response.count, 3);
+    assert_int_equal(response.skipped, 2);
+    assert_null(response.items[0].value);
+    assert_int_equal(response.items[0].size, 0);
+    assert_null(response.items[1].value);
+    assert_string_equal(response.items[2].value, "hello");
+    store_response_clear(&response);
 }
 
-static void a_report_with_a_field_missing_is_none(void **state)
+static void incomplete_engine_reports_are_rejected(void **state)
 {
     static const char *const reports[] = {
         "{}",
@@ -449,7 +450,7 @@
             fail_msg("taken for a report: %s", reports[i]);
 }
 
-static void a_version_is_a_whole_number(void **state)
+static void version_must_be_an_integer(void **state)
 {
     uint64_t version;
     assert_int_equal(platform_parse_version("{\"model\":\"m\",\"version\":3}", 25, &version),
@@ -462,24 +463,24 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_configuration_is_read_whole),
-        cmocka_unit_test(all_problems_of_a_configuration_are_found_together),
-        cmocka_unit_test(store_answers_are_decoded),
-        cmocka_unit_test(keys_and_forged_fields_do_not_reach_a_back_end),
-        cmocka_unit_test(a_deadline_of_no_time_is_told_from_none),
-        cmocka_unit_test(a_resumed_stream_names_its_own_last_event),
-        cmocka_unit_test(answers_of_back_ends_are_understood),
-        cmocka_unit_test(an_answer_says_that_its_back_end_leaves),
-        cmocka_unit_test(an_answer_asks_for_a_time_without_requests),
-        cmocka_unit_test(an_engine_report_is_read),
-        cmocka_unit_test(an_entry_names_one_start_of_a_back_end),
-        cmocka_unit_test(an_entry_of_another_writer_names_none),
-        cmocka_unit_test(every_field_of_an_entry_is_checked),
-        cmocka_unit_test(every_field_of_an_entry_is_needed),
-        cmocka_unit_test(an_entry_that_is_large_or_nested_deep_names_none),
-        cmocka_unit_test(a_value_that_cannot_be_read_leaves_the_others),
-        cmocka_unit_test(a_report_with_a_field_missing_is_none),
-        cmocka_unit_test(a_version_is_a_whole_number),
+        cmocka_unit_test(configuration_is_parsed_completely),
+        cmocka_unit_test(all_configuration_errors_are_reported_together),
+        cmocka_unit_test(store_responses_are_decoded),
+        cmocka_unit_test(client_keys_and_forged_fields_are_not_forwarded),
+        cmocka_unit_test(zero_deadline_differs_from_absent_deadline),
+        cmocka_unit_test(resumed_stream_overrides_last_event_id),
+        cmocka_unit_test(backend_response_fields_are_parsed),
+        cmocka_unit_test(server_leaving_field_is_parsed),
+        cmocka_unit_test(retry_after_field_is_parsed),
+        cmocka_unit_test(engine_report_is_parsed),
+        cmocka_unit_test(backend_entry_identifies_one_incarnation),
+        cmocka_unit_test(malformed_backend_entries_are_rejected),
+        cmocka_unit_test(every_backend_entry_field_is_type_checked),
+        cmocka_unit_test(every_backend_entry_field_is_required),
+        cmocka_unit_test(oversized_or_deeply_nested_entries_are_rejected),
+        cmocka_unit_test(undecodable_value_does_not_affect_other_items),
+        cmocka_unit_test(incomplete_engine_reports_are_rejected),
+        cmocka_unit_test(version_must_be_an_integer),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/weights/piece_server_test.c
+++ b/tests/weights/piece_server_test.c
@@ -13,13 +13,13 @@
 
 #define PIECES 3
 #define WAIT_US 60000
-#define CALLERS_THAT_GIVE_UP 20
+#define ABORTED_CALLERS 20
 #define RATE_BITS_PER_US 0.016 /* a piece of 20 bytes takes 10 ms */
 
 static const char *const contents[PIECES] = {"piece 0 ............", "piece 1 ............",
                                              "piece 2 ............"};
 
-static struct piece_set *set_with_manifest(void)
+static struct piece_set *create_set_with_manifest(void)
 {
     struct piece_set *set = piece_set_create("m", 2);
     struct buffer body = {0};
@@ -31,45 +31,46 @@
         buffer_append_format(&body, "%s\"%s\"", i ? "," : "", hex);
     }
     buffer_append_text(&body, "]}");
-    assert_int_equal(piece_set_take_manifest(set, body.data, body.size), STATUS_OK);
+    assert_int_equal(piece_set_add_manifest(set, body.data, body.size), STATUS_OK);
     buffer_clear(&body);
     return set;
 }
 
-static void give(struct piece_set *set, uint32_t piece)
+static void add_piece(struct piece_set *set, uint32_t piece)
 {
     uint32_t number;
-    assert_int_equal(piece_set_take(set, contents[piece], strlen(contents[piece]), &number),
-                     PIECE_NEW);
+    assert_int_equal(piece_set_add(set, contents[piece], strlen(contents[piece]), &number),
+                     PIECE_ADDED);
     assert_int_equal(number, piece);
 }
 
-static void a_piece_is_known_by_its_digest(void **state)
+static void pieces_are_identified_by_digest(void **state)
 {
-    struct piece_set *set = set_with_manifest();
+    struct piece_set *set = create_set_with_manifest();
     uint32_t number;
-    give(set, 1);
-    assert_int_equal(piece_set_take(set, contents[1], strlen(contents[1]), &number), PIECE_KNOWN);
-    assert_int_equal(piece_set_take(set, "spoilt", 6, &number), PIECE_FOREIGN);
-    give(set, 0);
+    add_piece(set, 1);
+    assert_int_equal(piece_set_add(set, contents[1], strlen(contents[1]), &number),
+                     PIECE_DUPLICATE);
+    assert_int_equal(piece_set_add(set, "spoilt", 6, &number), PIECE_UNKNOWN);
+    add_piece(set, 0);
     assert_false(piece_set_complete(set));
-    give(set, 2);
+    add_piece(set, 2);
     assert_true(piece_set_complete(set));
     piece_set_destroy(set);
 }
 
-static void a_manifest_of_another_version_is_refused(void **state)
+static void manifest_of_another_version_is_rejected(void **state)
 {
     static const char body[] = "{\"version\":3,\"chunk_bytes\":20,\"digests\":"
                                "[\"0000000000000000000000000000000000000000000000000000000000000000"
                                "\"]}";
     struct piece_set *set = piece_set_create("m", 2);
-    assert_int_equal(piece_set_take_manifest(set, body, sizeof body - 1), STATUS_INVALID);
+    assert_int_equal(piece_set_add_manifest(set, body, sizeof body - 1), STATUS_INVALID);
     assert_null(piece_set_manifest(set));
     piece_set_destroy(set);
 }
 
-static enum piece_call_kind kind_of(const char *target, struct piece_call *call)
+static enum piece_call_kind parse_kind(const char *target, struct piece_call *call)
 {
     struct service_request request = {
         .method = "GET", .target = target, .target_length = strlen(target)};
@@ -77,7 +78,7 @@
     return call->kind;
 }
 
-static void calls_are_read_as_they_are_written(void **state)
+static void request_targets_round_trip(void **state)
 {
     uint64_t wanted[PIECE_BITMAP_WORDS] = {0};
     struct piece_call call;
@@ -85,25 +86,25 @@
     bitmap_set(wanted, 3);
     bitmap_set(wanted, 70);
     piece_wire_write_piece("m", 12, wanted, 100, &target);
-    assert_int_equal(kind_of(target.data, &call), PIECE_CALL_PIECE);
+    assert_int_equal(parse_kind(target.data, &call), PIECE_CALL_PIECE);
     assert_string_equal(call.model, "m");
     assert_int_equal(call.version, 12);
     assert_memory_equal(call.wanted, wanted, sizeof wanted);
     buffer_clear(&target);
     piece_wire_write_manifest("m", 12, &target);
-    assert_int_equal(kind_of(target.data, &call), PIECE_CALL_MANIFEST);
+    assert_int_equal(parse_kind(target.data, &call), PIECE_CALL_MANIFEST);
     buffer_clear(&target);
 }
 
-static void malformed_calls_are_none(void **state)
+static void malformed_targets_are_not_recognized(void **state)
 {
     struct piece_call call;
-    assert_int_equal(kind_of("/piece?model=m&version=1", &call), PIECE_CALL_OTHER);
-    assert_int_equal(kind_of("/piece?model=m&version=1&wanted=12", &call), PIECE_CALL_OTHER);
-    assert_int_equal(kind_of("/piece?model=m&version=1&wanted=00000000000000zz", &call),
+    assert_int_equal(parse_kind("/piece?model=m&version=1", &call), PIECE_CALL_OTHER);
+    assert_int_equal(parse_kind("/piece?model=m&version=1&wanted=12", &call), PIECE_CALL_OTHER);
+    assert_int_equal(parse_kind("/piece?model=m&version=1&wanted=00000000000000zz", &call),
                      PIECE_CALL_OTHER);
-    assert_int_equal(kind_of("/manifest?version=1", &call), PIECE_CALL_OTHER);
-    assert_int_equal(kind_of("/state?model=m&version=1", &call), PIECE_CALL_OTHER);
+    assert_int_equal(parse_kind("/manifest?version=1", &call), PIECE_CALL_OTHER);
+    assert_int_equal(parse_kind("/state?model=m&version=1", &call), PIECE_CALL_OTHER);
 }
 
 /* A server on loopback and calls to it. */
@@ -125,7 +126,7 @@
     piece_wire_read(request, &wanted);
     assert_int_equal(wanted.kind, PIECE_CALL_PIECE);
     fixture->taken++;
-    piece_server_take(fixture->server, call, &wanted, clock_monotonic_us());
+    piece_server_handle(fixture->server, call, &wanted, clock_monotonic_us());
 }
 
 static void on_answer(void *context, enum call_result result, const struct http_message *message)
@@ -142,15 +143,15 @@
     static const struct http_service_limits limits = {1024, HTTP_SERVICE_IDLE_MS};
     memset(fixture, 0, sizeof *fixture);
     fixture->loop = uv_default_loop();
-    fixture->set = set_with_manifest();
+    fixture->set = create_set_with_manifest();
     fixture->server = piece_server_create(fixture->loop, fixture->set, bits_per_us, wait_us);
     find_port(&fixture->address);
     assert_non_null(
         http_service_start(fixture->loop, &fixture->address, &limits, on_call, fixture));
 }
 
-static struct http_caller *ask_then(struct exchange_fixture *fixture, uint64_t pieces,
-                                    call_done *done)
+static struct http_caller *send_request(struct exchange_fixture *fixture, uint64_t pieces,
+                                        call_done *done)
 {
     uint64_t wanted[PIECE_BITMAP_WORDS] = {pieces};
     struct buffer target = {0};
@@ -167,9 +168,9 @@
     return caller;
 }
 
-static void ask(struct exchange_fixture *fixture, uint64_t pieces)
+static void send_counted_request(struct exchange_fixture *fixture, uint64_t pieces)
 {
-    ask_then(fixture, pieces, on_answer);
+    send_request(fixture, pieces, on_answer);
 }
 
 static void on_nothing(uv_timer_t *timer)
@@ -190,41 +191,41 @@
     uv_run(fixture->loop, UV_RUN_NOWAIT);
 }
 
-static void a_call_waits_for_any_of_its_pieces(void **state)
+static void call_waits_for_any_requested_piece(void **state)
 {
     struct exchange_fixture fixture;
     fixture_open(&fixture, 0, 60 * (uint64_t)1000000);
-    ask(&fixture, 0x5); /* 0 or 2 */
+    send_counted_request(&fixture, 0x5); /* 0 or 2 */
     for (uint32_t i = 0; i < 20; i++)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
-    give(fixture.set, 1);
-    piece_server_advance(fixture.server, clock_monotonic_us());
+    add_piece(fixture.set, 1);
+    piece_server_answer_waiting(fixture.server, clock_monotonic_us());
     assert_int_equal(fixture.answers, 0);
-    give(fixture.set, 2);
-    piece_server_advance(fixture.server, clock_monotonic_us());
+    add_piece(fixture.set, 2);
+    piece_server_answer_waiting(fixture.server, clock_monotonic_us());
     run_until(&fixture, 1);
     assert_int_equal(fixture.statuses[0], 200);
     assert_string_equal(fixture.last_body, contents[2]);
 }
 
-static void what_does_not_come_is_refused_in_time(void **state)
+static void call_for_missing_piece_times_out_with_409(void **state)
 {
     struct exchange_fixture fixture;
     fixture_open(&fixture, 0, WAIT_US);
-    ask(&fixture, 0x1);
+    send_counted_request(&fixture, 0x1);
     run_until(&fixture, 1);
     assert_int_equal(fixture.statuses[0], 409);
 }
 
-static void answers_leave_at_the_pace_of_the_link(void **state)
+static void responses_are_paced_to_link_rate(void **state)
 {
     struct exchange_fixture fixture;
     fixture_open(&fixture, RATE_BITS_PER_US, WAIT_US);
     for (uint32_t i = 0; i < PIECES; i++)
-        give(fixture.set, i);
+        add_piece(fixture.set, i);
     uint64_t began = clock_monotonic_us();
     for (uint32_t i = 0; i < PIECES; i++)
-        ask(&fixture, 0x7);
+        send_counted_request(&fixture, 0x7);
     run_until(&fixture, PIECES);
     /* The first leaves at once, the others after 10 and 20 ms, less the slack of timers. */
     assert_true(clock_monotonic_us() - began >= 16000);
@@ -232,30 +233,30 @@
         assert_int_equal(fixture.statuses[i], 200);
 }
 
-static void on_given_up(void *context, enum call_result result, const struct http_message *message)
+static void on_aborted(void *context, enum call_result result, const struct http_message *message)
 {
     assert_int_equal(result, CALL_BROKEN);
 }
 
 /* Callers give up after 0.7 s without a byte. Answers to them took the link's time all the same, so
  * that those who asked again waited behind them. */
-static void calls_that_were_given_up_take_nothing_of_the_link(void **state)
+static void aborted_calls_use_no_link_time(void **state)
 {
     struct exchange_fixture fixture;
-    struct http_caller *callers[CALLERS_THAT_GIVE_UP];
+    struct http_caller *callers[ABORTED_CALLERS];
     fixture_open(&fixture, RATE_BITS_PER_US, 60 * (uint64_t)1000000);
-    for (uint32_t i = 0; i < CALLERS_THAT_GIVE_UP; i++)
-        callers[i] = ask_then(&fixture, 0x1, on_given_up);
-    while (fixture.taken < CALLERS_THAT_GIVE_UP)
+    for (uint32_t i = 0; i < ABORTED_CALLERS; i++)
+        callers[i] = send_request(&fixture, 0x1, on_aborted);
+    while (fixture.taken < ABORTED_CALLERS)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
-    for (uint32_t i = 0; i < CALLERS_THAT_GIVE_UP; i++)
+    for (uint32_t i = 0; i < ABORTED_CALLERS; i++)
         http_caller_abort(callers[i]);
-    ask(&fixture, 0x1);
-    while (fixture.taken <= CALLERS_THAT_GIVE_UP)
+    send_counted_request(&fixture, 0x1);
+    while (fixture.taken <= ABORTED_CALLERS)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
     uint64_t before = metric_read(METRIC_CHUNKS_SERVED);
-    give(fixture.set, 0);
-    piece_server_advance(fixture.server, clock_monotonic_us());
+    add_piece(fixture.set, 0);
+    piece_server_answer_waiting(fixture.server, clock_monotonic_us());
     run_until(&fixture, 1);
     assert_int_equal(fixture.statuses[0], 200);
     assert_int_equal(metric_read(METRIC_CHUNKS_SERVED) - before, 1);
@@ -264,14 +265,14 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_piece_is_known_by_its_digest),
-        cmocka_unit_test(a_manifest_of_another_version_is_refused),
-        cmocka_unit_test(calls_are_read_as_they_are_written),
-        cmocka_unit_test(malformed_calls_are_none),
-        cmocka_unit_test(a_call_waits_for_any_of_its_pieces),
-        cmocka_unit_test(what_does_not_come_is_refused_in_time),
-        cmocka_unit_test(answers_leave_at_the_pace_of_the_link),
-        cmocka_unit_test(calls_that_were_given_up_take_nothing_of_the_link),
+        cmocka_unit_test(pieces_are_identified_by_digest),
+        cmocka_unit_test(manifest_of_another_version_is_rejected),
+        cmocka_unit_test(request_targets_round_trip),
+        cmocka_unit_test(malformed_targets_are_not_recognized),
+        cmocka_unit_test(call_waits_for_any_requested_piece),
+        cmocka_unit_test(call_for_missing_piece_times_out_with_409),
+        cmocka_unit_test(responses_are_paced_to_link_rate),
+        cmocka_unit_test(aborted_calls_use_no_link_time),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/weights/piece_sources_test.c
+++ b/tests/weights/piece_sources_test.c
@@ -9,7 +9,7 @@
 #define NOW 100000000ULL
 #define SECOND 1000000ULL
 
-static uint32_t fast_gateways(uint32_t index)
+static uint32_t link_mbit_by_role(uint32_t index)
 {
     return fleet_role(index) == MEMBER_LOADER ? 9 : 200;
 }
@@ -23,7 +23,7 @@
 static void open_fixture(struct fixture *fixture)
 {
     memset(fixture, 0, sizeof *fixture);
-    fixture->cluster.membership = fleet_view_of(FLEET_GATEWAYS, fast_gateways);
+    fixture->cluster.membership = fleet_view_of(FLEET_GATEWAYS, link_mbit_by_role);
     fixture->set = piece_set_create("m", 2);
     fixture->sources =
         piece_sources_create(&fixture->cluster, fixture->set, PIECE_ROLE_LOADER, NULL);
@@ -38,7 +38,7 @@
 }
 
 /* While the origin was away for 6 s loaders ended at a few relays by chance; one then fed 40. */
-static void a_source_that_has_nothing_yet_is_asked_again_soon(void **state)
+static void not_ready_source_is_retried_at_constant_interval(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture);
@@ -47,7 +47,7 @@
     for (uint64_t now = NOW; now < NOW + 6 * SECOND; now += SECOND / 5) {
         struct piece_source *source = piece_sources_choose(fixture.sources, 0, now);
         assert_ptr_equal(source, first);
-        piece_source_not_yet(source, now);
+        piece_source_not_ready(source, now);
         assert_ptr_not_equal(piece_sources_choose(fixture.sources, 0, now), first);
     }
     close_fixture(&fixture);
@@ -55,31 +55,31 @@
 
 /* Two relays in each region of this fleet: both get a half, and one takes all while the other
  * rests. */
-static void pieces_are_shared_among_relays(void **state)
+static void pieces_are_spread_over_parallel_relays(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture);
-    piece_sources_set_spread(fixture.sources, 3);
+    piece_sources_set_parallel_relays(fixture.sources, 3);
     struct piece_source *even = piece_sources_choose(fixture.sources, 0, NOW);
     struct piece_source *odd = piece_sources_choose(fixture.sources, 1, NOW);
     assert_ptr_not_equal(even, odd);
     for (uint32_t piece = 0; piece < 48; piece++)
         assert_ptr_equal(piece_sources_choose(fixture.sources, piece, NOW), piece % 2 ? odd : even);
-    piece_source_rest(odd, NOW);
+    piece_source_back_off(odd, NOW);
     assert_ptr_equal(piece_sources_choose(fixture.sources, 1, NOW), even);
     assert_ptr_equal(piece_sources_choose(fixture.sources, 0, NOW), even);
     close_fixture(&fixture);
 }
 
-static void a_source_that_fails_rests_longer_each_time(void **state)
+static void failing_source_backs_off_exponentially(void **state)
 {
     struct fixture fixture;
     open_fixture(&fixture);
     struct piece_source *first = piece_sources_choose(fixture.sources, 0, NOW);
-    piece_source_rest(first, NOW);
+    piece_source_back_off(first, NOW);
     assert_ptr_equal(piece_sources_choose(fixture.sources, 0, NOW + SECOND / 5), first);
     for (uint32_t i = 0; i < 4; i++)
-        piece_source_rest(first, NOW);
+        piece_source_back_off(first, NOW);
     assert_ptr_not_equal(piece_sources_choose(fixture.sources, 0, NOW + SECOND), first);
     close_fixture(&fixture);
 }
@@ -87,9 +87,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_source_that_has_nothing_yet_is_asked_again_soon),
-        cmocka_unit_test(pieces_are_shared_among_relays),
-        cmocka_unit_test(a_source_that_fails_rests_longer_each_time),
+        cmocka_unit_test(not_ready_source_is_retried_at_constant_interval),
+        cmocka_unit_test(pieces_are_spread_over_parallel_relays),
+        cmocka_unit_test(failing_source_backs_off_exponentially),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
