--- a/src/weights/piece_fetch.c
+++ b/src/weights/piece_fetch.c
@@ -12,12 +12,14 @@
 
 #define MANIFEST_RESPONSE_MAX_BYTES (1U << 20)
 #define PIECE_RESPONSE_MAX_BYTES (8U << 20)
-/** A whole answer may take so long: a piece through a link of a tenth of the usual rate. */
+/** Timeout of a whole response: enough for one piece on a link of a tenth of the usual rate. */
 #define CALL_TIMEOUT_MS 1500
-/** An answer of a node that has not got the piece yet; a hasty one is followed by a short rest. */
+/** Response of a node that does not have the requested data yet. One that arrives within
+ * EARLY_NOT_READY_US of the request did not wait, so the next request is delayed by as much. */
 #define HTTP_STATUS_NOT_READY 409
 #define EARLY_NOT_READY_US 100000
-/** Without a piece for so long, others are tried beside a source that says "not yet". */
+/** After this time without a piece, a source that is not ready is backed off, so that others are
+ * tried. */
 #define FETCH_STALL_US 700000
 #define PROGRESS_LOG_INTERVAL_US 400000
 
@@ -25,11 +27,11 @@
     struct piece_set *set;
     struct piece_fetch_callbacks callbacks;
     struct piece_sources *sources;
-    uint32_t connections; /* to each source */
+    uint32_t connections; /* per source */
     bool paused;
     bool manifest_requested;
     uint64_t started_at;
-    uint64_t progress_at; /* of the last piece, 0: none yet */
+    uint64_t progress_at; /* time of the last piece, 0: none yet */
     struct link_rate link;
     uint64_t next_progress_log;
     uint64_t from_nodes;  /* pieces */
@@ -39,7 +41,7 @@
 
 static void start_requests(struct piece_fetch *fetch, uint64_t now);
 
-/* The time since the last piece, or since the beginning. */
+/* Time since the last piece, or since the start of the fetch. */
 static uint64_t time_since_progress(const struct piece_fetch *fetch, uint64_t now)
 {
     uint64_t last = fetch->progress_at ? fetch->progress_at : fetch->started_at;
@@ -58,7 +60,7 @@
               connection->source->failures);
 }
 
-/* The node does not have yet what it was asked for. */
+/* Handles HTTP_STATUS_NOT_READY. */
 static void on_not_ready(struct piece_connection *connection, uint64_t now)
 {
     if (time_since_progress(connection->owner, now) > FETCH_STALL_US)
@@ -67,8 +69,7 @@
         connection->source->backoff_until = now + EARLY_NOT_READY_US;
 }
 
-/* --- manifest ------------------------------------------------------------------------------------
- */
+/* --- manifest --------------------------------------------------------------------------------- */
 
 static void on_manifest(void *context, enum call_result result, const struct http_message *message)
 {
@@ -82,7 +83,7 @@
         if (status == HTTP_STATUS_NOT_READY)
             on_not_ready(connection, now);
         else
-            on_source_failure(connection, "no manifest", now);
+            on_source_failure(connection, "manifest not available", now);
         start_requests(fetch, now);
         return;
     }
@@ -90,7 +91,7 @@
         log_event(LOG_LEVEL_WARN, "pieces", "manifest-refused",
                   "version=%" PRIu64 " source=%08x problem=\"%s\"", piece_set_version(fetch->set),
                   connection->source->address, status_message());
-        on_source_failure(connection, "bad manifest", now);
+        on_source_failure(connection, "invalid manifest", now);
         return;
     }
     connection->source->failures = 0;
@@ -134,8 +135,7 @@
     buffer_clear(&target);
 }
 
-/* --- pieces --------------------------------------------------------------------------------------
- */
+/* --- pieces ----------------------------------------------------------------------------------- */
 
 static void log_complete(const struct piece_fetch *fetch, uint64_t now)
 {
@@ -161,7 +161,7 @@
         metric_add(METRIC_CHUNKS_REJECTED, 1);
         log_event(LOG_LEVEL_WARN, "pieces", "spoilt", "version=%" PRIu64 " source=%08x bytes=%zu",
                   piece_set_version(fetch->set), connection->source->address, message->body.size);
-        on_source_failure(connection, "spoilt", now);
+        on_source_failure(connection, "digest mismatch", now);
         return;
     }
     connection->source->failures = 0;
@@ -188,15 +188,15 @@
     else if (http_message_status(message) == HTTP_STATUS_NOT_READY)
         on_not_ready(connection, now);
     else if (http_message_status(message) != 200)
-        on_source_failure(connection, "refused", now);
+        on_source_failure(connection, "unexpected status", now);
     else
         accept_piece(connection, message, now);
     start_requests(connection->owner, now);
 }
 
-/* Missing pieces that this lane is to fetch. \return the one that is this node's most of all by
- * rank, so that nodes that do not know each other yet read different ones; the count of pieces:
- * none */
+/* Selects the missing pieces that this connection is to fetch. \return the one with the greatest
+ * rendezvous weight of this node, so that nodes that do not know each other yet start with
+ * different pieces; the number of pieces if there is none */
 static uint32_t select_wanted(struct piece_fetch *fetch, const struct piece_connection *connection,
                               uint64_t now, uint64_t wanted[PIECE_BITMAP_WORDS])
 {
@@ -248,7 +248,7 @@
     buffer_clear(&target);
 }
 
-/* Give every idle lane of a source in use its next call. */
+/* Sends the next request on each idle connection that has something to fetch. */
 static void start_requests(struct piece_fetch *fetch, uint64_t now)
 {
     if (!piece_set_manifest(fetch->set)) {
@@ -270,8 +270,7 @@
     }
 }
 
-/* --- life ----------------------------------------------------------------------------------------
- */
+/* --- lifecycle -------------------------------------------------------------------------------- */
 
 struct piece_fetch *piece_fetch_create(struct cluster *cluster, struct piece_set *set,
                                        enum piece_role role,
@@ -303,8 +302,8 @@
     fetch->connections = connections < 1                       ? 1
                          : connections > PIECE_MAX_CONNECTIONS ? PIECE_MAX_CONNECTIONS
                                                                : connections;
-    piece_sources_set_parallel_relays(fetch->sources,
-                                      fetch->connections); /* one connection to each of them */
+    /* As many relays, so that a loader uses one connection to each. */
+    piece_sources_set_parallel_relays(fetch->sources, fetch->connections);
 }
 
 void piece_fetch_set_paused(struct piece_fetch *fetch, bool paused)
--- a/src/weights/piece_fetch.h
+++ b/src/weights/piece_fetch.h
@@ -1,10 +1,10 @@
 /**
  * Fetches the manifest and the pieces of one version from relays, loaders or the origin.
  *
- * Each source has a few connections, each with one call under way. A call to a node names all
- * missing pieces of its connection's part and gets whichever the node has first; the origin is
- * asked for one piece after the other. A source that fails rests for a while, and the next one in
- * the plan's order is asked instead.
+ * Each source has a few connections with at most one request in flight each. Pieces are divided
+ * among the connections. A request to a node names all missing pieces of its connection, and the
+ * node responds with whichever it has first; the origin is asked for one piece per request. A
+ * source that fails is backed off, and the next one in the order of the relay plan is used.
  */
 #ifndef SHUNTRUN_PIECE_FETCH_H
 #define SHUNTRUN_PIECE_FETCH_H
@@ -18,9 +18,9 @@
 
 struct piece_fetch_callbacks {
     void *context;
-    /** The manifest came. */
+    /** The manifest was received and is valid. */
     void (*manifest_received)(void *context);
-    /** A piece came and its digest is right. */
+    /** A piece was received and its digest matches the manifest. */
     void (*piece_received)(void *context, uint32_t piece);
 };
 
@@ -29,17 +29,17 @@
                                        enum piece_role role,
                                        const struct piece_fetch_callbacks *callbacks);
 void piece_fetch_destroy(struct piece_fetch *fetch);
-/** \brief Say where the origin is; until then it is not asked. */
+/** \brief Set the address of the origin, which is not used before. */
 void piece_fetch_set_origin(struct piece_fetch *fetch, const struct sockaddr_in *origin);
-/** \brief Connections to each source from now on, at most PIECE_MAX_CONNECTIONS. */
+/** \brief Set the number of connections per source, clamped to 1 ... PIECE_MAX_CONNECTIONS. */
 void piece_fetch_set_connections(struct piece_fetch *fetch, uint32_t connections);
-/** \brief Ask for no more pieces for now, or go on. The manifest is fetched all the same. */
+/** \brief Pause or resume requests for pieces. The manifest is fetched even while paused. */
 void piece_fetch_set_paused(struct piece_fetch *fetch, bool paused);
-/** \brief Time-outs, rests and changes of the plan; call some ten times a second. */
+/** \brief Handle timeouts, backoffs and changes of the plan; call about ten times a second. */
 void piece_fetch_tick(struct piece_fetch *fetch, uint64_t now);
-/** \return time of the last piece, 0: none came yet */
+/** \return time at which the last piece was received (us), 0: none yet */
 uint64_t piece_fetch_last_progress(const struct piece_fetch *fetch);
-/** \brief The machine's link as the transfers show it. */
+/** \brief Link rate of this machine as estimated from its transfers. */
 struct link_rate *piece_fetch_link(struct piece_fetch *fetch);
 
 #endif
--- a/src/weights/piece_server.c
+++ b/src/weights/piece_server.c
@@ -8,18 +8,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Calls that wait at once; each node has a few connections. */
+/** Queue capacity; each node has a few connections with one call each. */
 #define WAITING_CALLS_MAX 2048
 #define HTTP_STATUS_NOT_FOUND 404
 #define HTTP_STATUS_NOT_READY 409
 #define HTTP_STATUS_TOO_MANY_REQUESTS 429
-/** Answers may leave so much ahead of their pace, as timers are no finer. */
+/** Responses may be sent this far ahead of the rate limit, because timers are no finer. */
 #define PACING_SLACK_US 2000
 
 struct waiting_call {
     struct service_call *call;
     struct piece_call wanted;
-    uint64_t until;
+    uint64_t until; /* deadline of the wait */
 };
 
 struct piece_server {
@@ -28,8 +28,8 @@
     uint64_t wait_us;
     struct waiting_call *waiting; /* in order of arrival */
     uint32_t count;
-    uint64_t link_free_at; /* what was answered is through the link */
-    uv_timer_t timer;      /* runs while the link is busy */
+    uint64_t link_free_at; /* when all responses so far have passed the link at the rate limit */
+    uv_timer_t timer;      /* runs while calls wait for the link */
 };
 
 static void on_link_free(uv_timer_t *timer);
@@ -61,7 +61,7 @@
     uv_close((uv_handle_t *)&server->timer, on_timer_closed);
 }
 
-/* \return number of a wanted piece that is held, or the count of pieces */
+/* \return index of a wanted piece that is held, or the number of pieces */
 static uint32_t find_held(const struct piece_server *server, const struct piece_call *wanted)
 {
     const struct piece_manifest *manifest = piece_set_manifest(server->set);
@@ -74,7 +74,7 @@
     return count;
 }
 
-/* \return bytes to answer a call with, NULL while they are not there */
+/* \return body of the response to a call, NULL while it is not held */
 static const void *find_answer(const struct piece_server *server, const struct piece_call *wanted,
                                size_t *size)
 {
@@ -103,8 +103,8 @@
     server->link_free_at += (uint64_t)((double)size * 8 / server->bits_per_us);
 }
 
-/* Peers give a call up after a while and ask again: answered to nobody, it would take the link's
- * time from the call that follows it. */
+/* Peers abort a call after a timeout and send another one. A response to the aborted call would
+ * only take link time from the one that replaces it. */
 static void drop_abandoned_calls(struct piece_server *server)
 {
     for (uint32_t i = 0; i < server->count;) {
@@ -168,7 +168,7 @@
         size_t size;
         struct waiting_call *waiting = &server->waiting[i];
         if (now < waiting->until || find_answer(server, &waiting->wanted, &size)) {
-            i++; /* what is there only waits for the link */
+            i++; /* held, and waits for the link only */
             continue;
         }
         struct service_call *call = waiting->call;
--- a/src/weights/piece_server.h
+++ b/src/weights/piece_server.h
@@ -1,8 +1,8 @@
 /**
- * Answers the calls of other nodes for the manifest and pieces of one version.
+ * Serves the manifest and the pieces of one version to other nodes.
  *
- * A call for what is not held yet waits for it, so that a piece goes on at the moment it comes.
- * Answers leave at a pace, so that other traffic of the machine's link gets through between them.
+ * A call for data that is not held yet waits, so that a piece is forwarded as soon as it arrives.
+ * Responses are paced, so that other traffic on the machine's link is not delayed behind them.
  */
 #ifndef SHUNTRUN_PIECE_SERVER_H
 #define SHUNTRUN_PIECE_SERVER_H
@@ -16,19 +16,19 @@
 
 /**
  * \param set must outlive the server
- * \param bits_per_us rate at which answers leave; 0: not bounded
- * \param wait_us time for which a call waits for what is not held yet; 0: not at all
+ * \param bits_per_us rate limit of responses (bits per us, that is Mbit/s); 0: unlimited
+ * \param wait_us maximum time that a call waits for data that is not held yet; 0: no wait
  */
 struct piece_server *piece_server_create(uv_loop_t *loop, const struct piece_set *set,
                                          double bits_per_us, uint64_t wait_us);
-/** \brief Refuse what waits, and free the server. */
+/** \brief Respond to waiting calls with 404, and free the server. */
 void piece_server_destroy(struct piece_server *server);
-/** \brief Answer a call for this version, now or later. */
+/** \brief Respond to a call for this version, or queue it; 429 when the queue is full. */
 void piece_server_handle(struct piece_server *server, struct service_call *call,
                          const struct piece_call *wanted, uint64_t now);
-/** \brief The manifest or another piece is there. */
+/** \brief Respond to waiting calls whose data is held; call when a manifest or piece arrives. */
 void piece_server_answer_waiting(struct piece_server *server, uint64_t now);
-/** \brief Refuse calls that waited too long; call several times in each `wait_us`. */
+/** \brief Respond with 409 to calls that waited for `wait_us`; call several times per `wait_us`. */
 void piece_server_tick(struct piece_server *server, uint64_t now);
 
 #endif
--- a/src/weights/piece_set.c
+++ b/src/weights/piece_set.c
@@ -17,7 +17,7 @@
     uint64_t version;
     uint64_t version_key;
     struct piece_manifest manifest;
-    char *manifest_body; /* NULL: not known yet */
+    char *manifest_body; /* NULL: not added yet */
     size_t manifest_size;
     struct piece *pieces;
     uint32_t held;
@@ -65,7 +65,7 @@
     enum status status = platform_read_manifest(body, size, &manifest);
     if (status == STATUS_OK && manifest.version != set->version)
         status =
-            status_fail(STATUS_INVALID, "manifest of version %llu, not of %llu",
+            status_fail(STATUS_INVALID, "manifest has version %llu, expected %llu",
                         (unsigned long long)manifest.version, (unsigned long long)set->version);
     if (status != STATUS_OK) {
         piece_manifest_clear(&manifest);
@@ -89,7 +89,8 @@
     return set->manifest_body;
 }
 
-/* \return number of a piece with a digest, one that is not held if there is any; else the count */
+/* \return index of a piece with this digest, preferably one that is not held; the number of pieces
+ * if there is none */
 static uint32_t find_by_digest(const struct piece_set *set, const struct digest *digest)
 {
     uint32_t found = set->manifest.count;
--- a/src/weights/piece_set.h
+++ b/src/weights/piece_set.h
@@ -11,32 +11,35 @@
 struct piece_set;
 
 enum piece_add_result {
-    PIECE_ADDED,     /**< taken */
-    PIECE_DUPLICATE, /**< held already */
-    PIECE_UNKNOWN,   /**< its digest is none of this version's */
+    PIECE_ADDED,     /**< now held */
+    PIECE_DUPLICATE, /**< was held already */
+    PIECE_UNKNOWN,   /**< the manifest does not have its digest */
 };
 
 struct piece_set *piece_set_create(const char *model, uint64_t version);
 void piece_set_destroy(struct piece_set *set);
 const char *piece_set_model(const struct piece_set *set);
 uint64_t piece_set_version(const struct piece_set *set);
-/** \return key of the version for rendezvous hashing */
+/** \return hash of the model and version, the key for rendezvous hashing */
 uint64_t piece_set_version_key(const struct piece_set *set);
 
-/** \brief Take the manifest as it came. \return STATUS_INVALID when it is not one of this version
+/**
+ * \brief Parse the manifest and keep it with its original bytes. No effect if one is held already.
+ * \return STATUS_INVALID when it is malformed or of another version
  */
 enum status piece_set_add_manifest(struct piece_set *set, const char *body, size_t size);
-/** \return NULL before it is known */
+/** \return NULL before the manifest was added */
 const struct piece_manifest *piece_set_manifest(const struct piece_set *set);
-/** \brief The manifest as it came. \return NULL before it is known */
+/** \brief The manifest's original bytes. \return NULL before the manifest was added */
 const char *piece_set_manifest_body(const struct piece_set *set, size_t *size);
 
-/** \brief Take a piece, known by its digest. \param piece gets its number unless foreign */
+/** \brief Add a copy of a piece, identified by its digest. \param piece gets its index, unless the
+ * result is PIECE_UNKNOWN */
 enum piece_add_result piece_set_add(struct piece_set *set, const void *bytes, size_t size,
                                     uint32_t *piece);
 /** \return NULL when not held */
 const uint8_t *piece_set_data(const struct piece_set *set, uint32_t piece, size_t *size);
-/** \return pieces held */
+/** \return number of pieces held */
 uint32_t piece_set_held(const struct piece_set *set);
 bool piece_set_complete(const struct piece_set *set);
 
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -4,25 +4,27 @@
 
 #include <stdlib.h>
 
-/** Rest of a source after its first failure in a row; twice as long with each further one. */
+/** Backoff after the first failure of a source; doubles with each consecutive one. */
 #define BACKOFF_INITIAL_US 150000
 #define BACKOFF_DOUBLINGS_MAX 4
 #define BACKOFF_MAX_US 1200000
-/** Rest of the origin after a spoilt or broken piece: there is no other one. */
+/** Backoff of the origin after a corrupt or incomplete piece: short and constant, as there is no
+ * other origin. */
 #define ORIGIN_BACKOFF_US 50000
-/** Loaders ask the origin only after so long without a piece. */
+/** Loaders fall back to the origin after this time without a piece. */
 #define ORIGIN_FALLBACK_US 1500000
-/** Time between looks at who lives. */
+/** Interval at which the plan is recomputed from the membership. */
 #define PLAN_INTERVAL_US 100000
-/** A connection to the origin, which accepts few, is closed after so long without use. */
+/** Idle timeout of connections to the origin, which accepts few. */
 #define ORIGIN_IDLE_TIMEOUT_US 250000
-/** A node that sent no byte for so long is gone: it answers a call sooner, if only to refuse it. */
+/** A node that sends no byte for this long is considered down: one that is up responds sooner, if
+ * only that it is not ready. */
 #define FIRST_BYTE_TIMEOUT_US 700000
-/** Just after a start a node does not know most others: it waits for that before it chooses
- * sources, for so long at most. Else many more gateways become relays, and the origin gives more
- * copies. */
+/** Maximum time that a node waits after its start to learn of the other members before it chooses
+ * sources. With partial views many more gateways become relays, and the origin serves more copies.
+ */
 #define MEMBERSHIP_WAIT_US 300000
-/** Loaders take pieces from relays of their region, whose members they know before all others. */
+/** Loaders fetch from relays of their region, whose members they learn of first. */
 #define LOADER_KNOWN_FRACTION_MIN 0.5
 
 struct piece_sources {
@@ -35,13 +37,13 @@
     struct relay_plan plan;
     uint64_t next_refresh;
     uint64_t created_at;
-    bool membership_known;            /* the plan is that of others too */
-    struct relay_sources manifest;    /* for relays */
-    struct relay_sources *candidates; /* of each piece; loaders have one for all */
-    uint32_t parallel_relays;         /* relays that share a loader's pieces */
+    bool membership_known;            /* enough of it that the plan agrees with that of others */
+    struct relay_sources manifest;    /* used by relays only */
+    struct relay_sources *candidates; /* per piece; loaders have one list for all pieces */
+    uint32_t parallel_relays;         /* number of relays that share a loader's pieces */
     uint32_t candidates_count;
     bool includes_origin;
-    struct piece_source **items; /* all that were ever named: some of the relays' number */
+    struct piece_source **items; /* all sources used so far: about as many as relays */
     uint32_t count;
 };
 
@@ -129,8 +131,7 @@
     source->backoff_until = now + BACKOFF_INITIAL_US;
 }
 
-/* --- choice --------------------------------------------------------------------------------------
- */
+/* --- source selection ------------------------------------------------------------------------- */
 
 void piece_sources_set_parallel_relays(struct piece_sources *sources, uint32_t relays)
 {
@@ -154,7 +155,8 @@
                                   &sources->candidates[0]);
 }
 
-/* \return the first source of a list that does not rest, near ones from a place on; NULL: none */
+/* \return the first source of a list that is not backed off, NULL: none. `first` rotates the near
+ * sources, those of the same region. */
 static struct piece_source *choose_from(struct piece_sources *sources,
                                         const struct relay_sources *list, uint32_t first,
                                         uint64_t now)
@@ -184,8 +186,8 @@
 }
 
 /*
- * One relay of each region asks the origin: it accepts some 48 connections, and 80 relays that all
- * asked it got their manifests up to 1.2 s late.
+ * One relay of each region requests the manifest from the origin. The origin accepts about 48
+ * connections; when 80 relays all requested it there, some manifests were up to 1.2 s late.
  */
 struct piece_source *piece_sources_choose_manifest(struct piece_sources *sources, uint64_t now)
 {
@@ -205,8 +207,7 @@
     return sources->plan.count;
 }
 
-/* --- time ----------------------------------------------------------------------------------------
- */
+/* --- timeouts and membership changes ---------------------------------------------------------- */
 
 uint32_t piece_sources_receiving(const struct piece_sources *sources)
 {
--- a/src/weights/weight_relay.c
+++ b/src/weights/weight_relay.c
@@ -9,23 +9,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Versions held at once, all models together: the one in use, one on its way, and one named
- *  meanwhile. Bounds the memory for weights. */
+/** Versions held at a time, over all models: the one in use, one being fetched, and one announced
+ * during the fetch. Limits the memory for weights. */
 #define RELAY_MAX_VERSIONS 3
-/** A call for what is not here yet waits for so long; its caller takes longer silence for a loss.
- */
+/** Maximum time that a call waits for data that is not held yet. Callers abort calls that are
+ * silent for longer. */
 #define PIECE_WAIT_US 300000
-/** Share of the machine's link that pieces may take: the rest is for the requests of clients. */
+/** Fraction of the machine's link that pieces may use; the rest is for client requests. */
 #define PIECE_LINK_FRACTION 0.7
-/** Connections to each source: one call is on its way while another one's answer comes. */
+/** Two, so that one request is in flight while the response to another is received. */
 #define CONNECTIONS_PER_SOURCE 2
 
-/* A version that is held or on its way. */
+/* A version that is held or being fetched. */
 struct relayed_version {
     struct piece_set *set;
     struct piece_fetch *fetch;
     struct piece_server *server;
-    uint64_t requested_at; /* time of the last call for it */
+    uint64_t requested_at; /* time of the last call for this version (us) */
 };
 
 struct weight_relay {
@@ -75,7 +75,7 @@
     relay->versions[index] = relay->versions[--relay->count];
 }
 
-/* The version that was asked for longest ago makes room. */
+/* Evicts the least recently requested version when the limit is reached. */
 static void evict_version(struct weight_relay *relay)
 {
     uint32_t oldest = 0;
--- a/tests/weights/piece_server_test.c
+++ b/tests/weights/piece_server_test.c
@@ -1,4 +1,4 @@
-/* Pieces of a version: held by digest, asked for as a set, handed on when they come. */
+/* Pieces of a version: identified by digest, requested as a set, served when they arrive. */
 #include "testing.h"
 
 #include "base/clock.h"
@@ -107,7 +107,7 @@
     assert_int_equal(parse_kind("/state?model=m&version=1", &call), PIECE_CALL_OTHER);
 }
 
-/* A server on loopback and calls to it. */
+/* A server on a loopback address, and the calls to it. */
 struct exchange_fixture {
     uv_loop_t *loop;
     struct piece_set *set;
@@ -177,7 +177,7 @@
 {
 }
 
-/* Let the loop run until so many answers came; the timer only wakes the loop. */
+/* Runs the loop until this many responses were received. The timer only wakes the loop. */
 static void run_until(struct exchange_fixture *fixture, uint32_t answers)
 {
     uv_timer_t wake;
@@ -195,7 +195,7 @@
 {
     struct exchange_fixture fixture;
     fixture_open(&fixture, 0, 60 * (uint64_t)1000000);
-    send_counted_request(&fixture, 0x5); /* 0 or 2 */
+    send_counted_request(&fixture, 0x5); /* piece 0 or 2 */
     for (uint32_t i = 0; i < 20; i++)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
     add_piece(fixture.set, 1);
@@ -227,7 +227,7 @@
     for (uint32_t i = 0; i < PIECES; i++)
         send_counted_request(&fixture, 0x7);
     run_until(&fixture, PIECES);
-    /* The first leaves at once, the others after 10 and 20 ms, less the slack of timers. */
+    /* The first is sent at once, the others after 10 and 20 ms, less the pacing slack. */
     assert_true(clock_monotonic_us() - began >= 16000);
     for (uint32_t i = 0; i < PIECES; i++)
         assert_int_equal(fixture.statuses[i], 200);
@@ -238,8 +238,8 @@
     assert_int_equal(result, CALL_BROKEN);
 }
 
-/* Callers give up after 0.7 s without a byte. Answers to them took the link's time all the same, so
- * that those who asked again waited behind them. */
+/* Callers abort a call after 0.7 s without a byte and send another one. Guards against responses to
+ * the aborted calls, which used link time and so delayed those to the new calls. */
 static void aborted_calls_use_no_link_time(void **state)
 {
     struct exchange_fixture fixture;
--- a/tests/weights/piece_sources_test.c
+++ b/tests/weights/piece_sources_test.c
@@ -1,4 +1,4 @@
-/* Which source a node takes, while sources fail or do not have the pieces yet. */
+/* Selection of sources while some fail or do not have the pieces yet. */
 #include "testing.h"
 
 #include "core/fleet_members.h"
@@ -37,7 +37,8 @@
     membership_destroy(fixture->cluster.membership);
 }
 
-/* While the origin was away for 6 s loaders ended at a few relays by chance; one then fed 40. */
+/* Guards against exponential backoff of sources that are not ready: in an origin outage of 6 s
+ * loaders gathered by chance at a few relays, one of which then served 40 loaders. */
 static void not_ready_source_is_retried_at_constant_interval(void **state)
 {
     struct fixture fixture;
@@ -53,8 +54,8 @@
     close_fixture(&fixture);
 }
 
-/* Two relays in each region of this fleet: both get a half, and one takes all while the other
- * rests. */
+/* This fleet has two relays per region: each serves half of the pieces, and one serves all while
+ * the other is backed off. */
 static void pieces_are_spread_over_parallel_relays(void **state)
 {
     struct fixture fixture;
