--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -1,4 +1,4 @@
-/* The platform's names and formats, both ways. */
+/* Parsing and writing of the platform's header fields and data formats. */
 #include "testing.h"
 
 #include "platform/platform.h"
@@ -153,7 +153,8 @@
     return head;
 }
 
-/* A caller without any time left had the whole time-out of the route. */
+/* Guards against reading a deadline of 0 ms as no deadline, which gave a client without any time
+ * left the full timeout of the route. */
 static void zero_deadline_differs_from_absent_deadline(void **state)
 {
     struct request_head none = head_with_deadline("0");
@@ -209,7 +210,7 @@
     http_message_clear(&message);
 }
 
-/* \return the head of an answer with this status line and these fields */
+/* \return the parsed head of a response with this status line and these fields */
 static struct response_head parse_response_head(const char *status, const char *fields)
 {
     char text[512];
@@ -353,7 +354,7 @@
     assert_true(is_valid_entry(ENTRY "}", strlen(ENTRY "}")));
 }
 
-/* Each field in turn is left out, or of another type. */
+/* Each field in turn is of another type or out of range. */
 static void every_backend_entry_field_is_type_checked(void **state)
 {
     static const char *const fields[][2] = {
@@ -372,7 +373,7 @@
             char text[512] = "{\"x\":0";
             bool free_text = field == 0 || field == 2 || field == 3;
             if (free_text && value == 6)
-                continue; /* any text is one */
+                continue; /* any non-empty string is valid */
             for (size_t i = 0; i < sizeof fields / sizeof *fields; i++)
                 snprintf(text + strlen(text), sizeof text - strlen(text), ",%s%s", fields[i][0],
                          i == field ? wrong[value] : fields[i][1]);
