--- a/src/weights/piece_server.c
+++ b/src/weights/piece_server.c
@@ -19,7 +19,7 @@
 struct waiting_call {
     struct service_call *call;
     struct piece_call wanted;
-    uint64_t until; /* deadline of the wait */
+    uint64_t deadline; /* of the wait (us) */
 };
 
 struct piece_server {
@@ -75,8 +75,8 @@
 }
 
 /* \return body of the response to a call, NULL while it is not held */
-static const void *find_answer(const struct piece_server *server, const struct piece_call *wanted,
-                               size_t *size)
+static const void *find_response_body(const struct piece_server *server,
+                                      const struct piece_call *wanted, size_t *size)
 {
     const struct piece_manifest *manifest = piece_set_manifest(server->set);
     if (!manifest)
@@ -123,7 +123,7 @@
     drop_abandoned_calls(server);
     for (uint32_t i = 0; i < server->count;) {
         size_t size;
-        const void *bytes = find_answer(server, &server->waiting[i].wanted, &size);
+        const void *bytes = find_response_body(server, &server->waiting[i].wanted, &size);
         if (!bytes) {
             i++;
             continue;
@@ -133,12 +133,12 @@
             uv_timer_start(&server->timer, on_link_free, wait_us / 1000 + 1, 0);
             return;
         }
-        struct waiting_call answered = server->waiting[i];
+        struct waiting_call served = server->waiting[i];
         remove_call(server, i);
         reserve_link_time(server, size, now);
-        if (answered.wanted.kind == PIECE_CALL_PIECE)
+        if (served.wanted.kind == PIECE_CALL_PIECE)
             metric_add(METRIC_CHUNKS_SERVED, 1);
-        service_reply(answered.call, 200, "application/octet-stream", bytes, size);
+        service_reply(served.call, 200, "application/octet-stream", bytes, size);
     }
 }
 
@@ -167,7 +167,7 @@
     for (uint32_t i = 0; i < server->count;) {
         size_t size;
         struct waiting_call *waiting = &server->waiting[i];
-        if (now < waiting->until || find_answer(server, &waiting->wanted, &size)) {
+        if (now < waiting->deadline || find_response_body(server, &waiting->wanted, &size)) {
             i++; /* held, and waits for the link only */
             continue;
         }
--- a/tests/weights/piece_server_test.c
+++ b/tests/weights/piece_server_test.c
@@ -113,8 +113,8 @@
     struct piece_set *set;
     struct piece_server *server;
     struct sockaddr_in address;
-    uint32_t taken; /* calls that reached the server */
-    uint32_t answers;
+    uint32_t received_calls; /* by the server */
+    uint32_t responses;
     unsigned statuses[PIECES];
     char last_body[32];
 };
@@ -125,15 +125,15 @@
     struct piece_call wanted;
     piece_wire_read(request, &wanted);
     assert_int_equal(wanted.kind, PIECE_CALL_PIECE);
-    fixture->taken++;
+    fixture->received_calls++;
     piece_server_handle(fixture->server, call, &wanted, clock_monotonic_us());
 }
 
-static void on_answer(void *context, enum call_result result, const struct http_message *message)
+static void on_response(void *context, enum call_result result, const struct http_message *message)
 {
     struct exchange_fixture *fixture = context;
     assert_int_equal(result, CALL_ANSWERED);
-    fixture->statuses[fixture->answers++] = http_message_status(message);
+    fixture->statuses[fixture->responses++] = http_message_status(message);
     snprintf(fixture->last_body, sizeof fixture->last_body, "%.*s", (int)message->body.size,
              message->body.size ? message->body.data : "");
 }
@@ -170,7 +170,7 @@
 
 static void send_counted_request(struct exchange_fixture *fixture, uint64_t pieces)
 {
-    send_request(fixture, pieces, on_answer);
+    send_request(fixture, pieces, on_response);
 }
 
 static void on_nothing(uv_timer_t *timer)
@@ -178,12 +178,12 @@
 }
 
 /* Runs the loop until this many responses were received. The timer only wakes the loop. */
-static void run_until(struct exchange_fixture *fixture, uint32_t answers)
+static void run_until(struct exchange_fixture *fixture, uint32_t responses)
 {
     uv_timer_t wake;
     uv_timer_init(fixture->loop, &wake);
     uv_timer_start(&wake, on_nothing, 5, 5);
-    while (fixture->answers < answers) {
+    while (fixture->responses < responses) {
         uv_run(fixture->loop, UV_RUN_ONCE);
         piece_server_tick(fixture->server, clock_monotonic_us());
     }
@@ -200,7 +200,7 @@
         uv_run(fixture.loop, UV_RUN_NOWAIT);
     add_piece(fixture.set, 1);
     piece_server_answer_waiting(fixture.server, clock_monotonic_us());
-    assert_int_equal(fixture.answers, 0);
+    assert_int_equal(fixture.responses, 0);
     add_piece(fixture.set, 2);
     piece_server_answer_waiting(fixture.server, clock_monotonic_us());
     run_until(&fixture, 1);
@@ -247,12 +247,12 @@
     fixture_open(&fixture, RATE_BITS_PER_US, 60 * (uint64_t)1000000);
     for (uint32_t i = 0; i < ABORTED_CALLERS; i++)
         callers[i] = send_request(&fixture, 0x1, on_aborted);
-    while (fixture.taken < ABORTED_CALLERS)
+    while (fixture.received_calls < ABORTED_CALLERS)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
     for (uint32_t i = 0; i < ABORTED_CALLERS; i++)
         http_caller_abort(callers[i]);
     send_counted_request(&fixture, 0x1);
-    while (fixture.taken <= ABORTED_CALLERS)
+    while (fixture.received_calls <= ABORTED_CALLERS)
         uv_run(fixture.loop, UV_RUN_NOWAIT);
     uint64_t before = metric_read(METRIC_CHUNKS_SERVED);
     add_piece(fixture.set, 0);
