--- a/src/weights/piece_server.c
+++ b/src/weights/piece_server.c
@@ -8,18 +8,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Calls that wait at once; each node has a few connections. */
-#define CALLS_MOST 2048
-#define STATUS_ABSENT 404
-#define STATUS_NOT_IN_TIME 409
-#define STATUS_BUSY 429
-/** Answers may leave so much ahead of their pace, as timers are no finer. */
-#define PACE_SLACK_US 2000
+/** Queue capacity; each node has a few connections with one call each. */
+#define WAITING_CALLS_MAX 2048
+#define HTTP_STATUS_NOT_FOUND 404
+#define HTTP_STATUS_NOT_READY 409
+#define HTTP_STATUS_TOO_MANY_REQUESTS 429
+/** Responses may be sent this far ahead of the rate limit, because timers are no finer. */
+#define PACING_SLACK_US 2000
 
 struct waiting_call {
     struct service_call *call;
     struct piece_call wanted;
-    uint64_t until;
+    uint64_t deadline; /* of the wait (us) */
 };
 
 struct piece_server {
@@ -28,8 +28,8 @@
     uint64_t wait_us;
     struct waiting_call *waiting; /* in order of arrival */
     uint32_t count;
-    uint64_t link_free_at; /* what was answered is through the link */
-    uv_timer_t timer;      /* runs while the link is busy */
+    uint64_t link_free_at; /* when all responses so far have passed the link at the rate limit */
+    uv_timer_t timer;      /* runs while calls wait for the link */
 };
 
 static void on_link_free(uv_timer_t *timer);
@@ -56,17 +56,17 @@
 void piece_server_destroy(struct piece_server *server)
 {
     for (uint32_t i = 0; i < server->count; i++)
-        service_reply(server->waiting[i].call, STATUS_ABSENT, NULL, NULL, 0);
+        service_reply(server->waiting[i].call, HTTP_STATUS_NOT_FOUND, NULL, NULL, 0);
     server->count = 0;
     uv_close((uv_handle_t *)&server->timer, on_timer_closed);
 }
 
-/* \return number of a wanted piece that is held, or the count of pieces */
+/* \return index of a wanted piece that is held, or the number of pieces */
 static uint32_t find_held(const struct piece_server *server, const struct piece_call *wanted)
 {
     const struct piece_manifest *manifest = piece_set_manifest(server->set);
     uint32_t count = manifest ? manifest->count : 0;
-    for (uint32_t i = 0; i < count && i < PIECES_MOST; i++) {
+    for (uint32_t i = 0; i < count && i < PIECE_MAX_COUNT; i++) {
         size_t size;
         if (bitmap_get(wanted->wanted, i) && piece_set_data(server->set, i, &size))
             return i;
@@ -74,9 +74,9 @@
     return count;
 }
 
-/* \return bytes to answer a call with, NULL while they are not there */
-static const void *find_answer(const struct piece_server *server, const struct piece_call *wanted,
-                               size_t *size)
+/* \return body of the response to a call, NULL while it is not held */
+static const void *find_response_body(const struct piece_server *server,
+                                      const struct piece_call *wanted, size_t *size)
 {
     const struct piece_manifest *manifest = piece_set_manifest(server->set);
     if (!manifest)
@@ -94,7 +94,7 @@
             (server->count - index) * sizeof *server->waiting);
 }
 
-static void count_on_link(struct piece_server *server, size_t size, uint64_t now)
+static void reserve_link_time(struct piece_server *server, size_t size, uint64_t now)
 {
     if (server->bits_per_us <= 0)
         return;
@@ -103,9 +103,9 @@
     server->link_free_at += (uint64_t)((double)size * 8 / server->bits_per_us);
 }
 
-/* Peers give a call up after a while and ask again: answered to nobody, it would take the link's
- * time from the call that follows it. */
-static void drop_gone(struct piece_server *server)
+/* Peers abort a call after a timeout and send another one. A response to the aborted call would
+ * only take link time from the one that replaces it. */
+static void drop_abandoned_calls(struct piece_server *server)
 {
     for (uint32_t i = 0; i < server->count;) {
         struct service_call *call = server->waiting[i].call;
@@ -114,50 +114,50 @@
             continue;
         }
         remove_call(server, i);
-        service_reply(call, STATUS_ABSENT, NULL, NULL, 0);
+        service_reply(call, HTTP_STATUS_NOT_FOUND, NULL, NULL, 0);
     }
 }
 
-void piece_server_advance(struct piece_server *server, uint64_t now)
+void piece_server_answer_waiting(struct piece_server *server, uint64_t now)
 {
-    drop_gone(server);
+    drop_abandoned_calls(server);
     for (uint32_t i = 0; i < server->count;) {
         size_t size;
-        const void *bytes = find_answer(server, &server->waiting[i].wanted, &size);
+        const void *bytes = find_response_body(server, &server->waiting[i].wanted, &size);
         if (!bytes) {
             i++;
             continue;
         }
-        if (server->link_free_at > now + PACE_SLACK_US) {
-            uint64_t wait_us = server->link_free_at - now - PACE_SLACK_US;
+        if (server->link_free_at > now + PACING_SLACK_US) {
+            uint64_t wait_us = server->link_free_at - now - PACING_SLACK_US;
             uv_timer_start(&server->timer, on_link_free, wait_us / 1000 + 1, 0);
             return;
         }
-        struct waiting_call answered = server->waiting[i];
+        struct waiting_call served = server->waiting[i];
         remove_call(server, i);
-        count_on_link(server, size, now);
-        if (answered.wanted.kind == PIECE_CALL_PIECE)
+        reserve_link_time(server, size, now);
+        if (served.wanted.kind == PIECE_CALL_PIECE)
             metric_add(METRIC_CHUNKS_SERVED, 1);
-        service_reply(answered.call, 200, "application/octet-stream", bytes, size);
+        service_reply(served.call, 200, "application/octet-stream", bytes, size);
     }
 }
 
 static void on_link_free(uv_timer_t *timer)
 {
     struct piece_server *server = timer->data;
-    piece_server_advance(server, clock_monotonic_us());
+    piece_server_answer_waiting(server, clock_monotonic_us());
 }
 
-void piece_server_take(struct piece_server *server, struct service_call *call,
-                       const struct piece_call *wanted, uint64_t now)
+void piece_server_handle(struct piece_server *server, struct service_call *call,
+                         const struct piece_call *wanted, uint64_t now)
 {
-    if (server->count == CALLS_MOST) {
-        service_reply(call, STATUS_BUSY, NULL, NULL, 0);
+    if (server->count == WAITING_CALLS_MAX) {
+        service_reply(call, HTTP_STATUS_TOO_MANY_REQUESTS, NULL, NULL, 0);
         return;
     }
     server->waiting = memory_resize(server->waiting, (server->count + 1) * sizeof *server->waiting);
     server->waiting[server->count++] = (struct waiting_call){call, *wanted, now + server->wait_us};
-    piece_server_advance(server, now);
+    piece_server_answer_waiting(server, now);
     if (!server->wait_us)
         piece_server_tick(server, now);
 }
@@ -167,12 +167,12 @@
     for (uint32_t i = 0; i < server->count;) {
         size_t size;
         struct waiting_call *waiting = &server->waiting[i];
-        if (now < waiting->until || find_answer(server, &waiting->wanted, &size)) {
-            i++; /* what is there only waits for the link */
+        if (now < waiting->deadline || find_response_body(server, &waiting->wanted, &size)) {
+            i++; /* held, and waits for the link only */
             continue;
         }
         struct service_call *call = waiting->call;
         remove_call(server, i);
-        service_reply(call, STATUS_NOT_IN_TIME, NULL, NULL, 0);
+        service_reply(call, HTTP_STATUS_NOT_READY, NULL, NULL, 0);
     }
 }
