--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -18,18 +18,18 @@
 
 /** For so long a node says that it has started, and others tell it what they know of its earlier
  * process: longer than calls of that one can act. */
-#define STARTED_US ((uint64_t)15000000)
-#define TICK_MS 100
+#define PROCESS_START_ANNOUNCE_US ((uint64_t)15000000)
+#define TICK_INTERVAL_MS 100
 /** Time between ticks while this node does not know the state, or most of the members. */
-#define FIRST_TICK_MS 25
-#define DATAGRAM_SIZE 8192
+#define STARTUP_TICK_INTERVAL_MS 25
+#define MAX_DATAGRAM_BYTES 8192
 /** Time between looks at what is to be logged or dropped. */
-#define ROUND_US 500000
-#define CALL_BODY_LIMIT 65536
-#define TOMBSTONE_US 60000000
+#define MAINTENANCE_INTERVAL_US 500000
+#define MAX_CALL_BODY_BYTES 65536
+#define TOMBSTONE_RETENTION_US 60000000
 /** Loaders tell the gateways that hear of them each 0.4 s at least, nodes probe each other as
  * often: in this time some message comes through, also where one in ten is lost. */
-#define ISOLATED_US 1200000
+#define ISOLATION_TIMEOUT_US 1200000
 
 uint64_t cluster_now(void)
 {
@@ -43,8 +43,8 @@
     return result;
 }
 
-static void send_packed(struct cluster *cluster, uint32_t address, const uint8_t *bytes,
-                        size_t size)
+static void send_datagram(struct cluster *cluster, uint32_t address, const uint8_t *bytes,
+                          size_t size)
 {
     struct sockaddr_in to = cluster_address(cluster, address);
     uv_buf_t buffer = uv_buf_init((char *)bytes, (unsigned)size);
@@ -55,19 +55,20 @@
 }
 
 /* \return size of the message, 0 when it is too large */
-static size_t pack(const Shuntrun__MemberMessage *message, uint8_t bytes[DATAGRAM_SIZE])
+static size_t pack_message(const Shuntrun__MemberMessage *message,
+                           uint8_t bytes[MAX_DATAGRAM_BYTES])
 {
     size_t size = shuntrun__member_message__get_packed_size(message);
-    if (size > DATAGRAM_SIZE) {
+    if (size > MAX_DATAGRAM_BYTES) {
         log_event(LOG_LEVEL_ERROR, "cluster", "too-large", "bytes=%zu most=%d", size,
-                  DATAGRAM_SIZE);
+                  MAX_DATAGRAM_BYTES);
         return 0;
     }
     return shuntrun__member_message__pack(message, bytes);
 }
 
 /* Whether a node is in another region, as far as it is known. */
-static bool is_far(const struct cluster *cluster, uint32_t address)
+static bool is_in_other_region(const struct cluster *cluster, uint32_t address)
 {
     const struct member_state *member = membership_find(cluster->membership, address);
     return member && strcmp(member->region, membership_self(cluster->membership)->region) != 0;
@@ -75,15 +76,18 @@
 
 static uint64_t uptime_ms(const struct cluster *cluster, uint64_t now)
 {
-    return now < cluster->opened_at + STARTED_US ? (now - cluster->opened_at) / 1000 + 1 : 0;
+    return now < cluster->opened_at + PROCESS_START_ANNOUNCE_US
+               ? (now - cluster->opened_at) / 1000 + 1
+               : 0;
 }
 
 /* What this node knows of an earlier process of the recipient. */
-static void write_earlier(const struct cluster *cluster, uint32_t address, uint64_t now,
-                          Shuntrun__MemberMessage *message)
+static void add_earlier_process(const struct cluster *cluster, uint32_t address, uint64_t now,
+                                Shuntrun__MemberMessage *message)
 {
     const struct member_state *member = membership_find(cluster->membership, address);
-    if (!member || !member->earlier_heard_at || now >= member->earlier_heard_at + STARTED_US)
+    if (!member || !member->earlier_heard_at ||
+        now >= member->earlier_heard_at + PROCESS_START_ANNOUNCE_US)
         return;
     message->earlier_age_ms = (now - member->earlier_heard_at) / 1000 + 1;
     message->earlier_born = member->earlier_born;
@@ -91,21 +95,21 @@
 
 void cluster_send(struct cluster *cluster, uint32_t address, const Shuntrun__MemberMessage *message)
 {
-    uint8_t bytes[DATAGRAM_SIZE];
+    uint8_t bytes[MAX_DATAGRAM_BYTES];
     uint64_t now = cluster_now();
-    Shuntrun__MemberMessage with_starts = *message;
-    with_starts.uptime_ms = uptime_ms(cluster, now);
-    write_earlier(cluster, address, now, &with_starts);
-    size_t size = pack(&with_starts, bytes);
+    Shuntrun__MemberMessage with_process_times = *message;
+    with_process_times.uptime_ms = uptime_ms(cluster, now);
+    add_earlier_process(cluster, address, now, &with_process_times);
+    size_t size = pack_message(&with_process_times, bytes);
     if (!size)
         return;
-    message_count(message, size, is_far(cluster, address));
-    send_packed(cluster, address, bytes, size);
+    message_count_sent(message, size, is_in_other_region(cluster, address));
+    send_datagram(cluster, address, bytes, size);
 }
 
 void cluster_send_load(struct cluster *cluster, Shuntrun__EngineLoad *load, bool far)
 {
-    uint8_t bytes[DATAGRAM_SIZE];
+    uint8_t bytes[MAX_DATAGRAM_BYTES];
     Shuntrun__MemberMessage message = SHUNTRUN__MEMBER_MESSAGE__INIT;
     struct load_targets *targets = &cluster->load_targets;
     load_targets_refresh(targets, cluster->membership);
@@ -113,11 +117,11 @@
     load->far_gateways = targets->far_count;
     message.load = load;
     message.uptime_ms = uptime_ms(cluster, cluster_now());
-    size_t size = pack(&message, bytes);
+    size_t size = pack_message(&message, bytes);
     uint32_t count = targets->near_count + (far ? targets->far_count : 0);
     for (uint32_t i = 0; size && i < count; i++) {
-        message_count(&message, size, i >= targets->near_count);
-        send_packed(cluster, targets->addresses[i], bytes, size);
+        message_count_sent(&message, size, i >= targets->near_count);
+        send_datagram(cluster, targets->addresses[i], bytes, size);
     }
 }
 
@@ -126,20 +130,20 @@
     return cluster->role.duty != READER_INACTIVE;
 }
 
-bool cluster_store_is_sound(const struct cluster *cluster)
+bool cluster_store_is_healthy(const struct cluster *cluster)
 {
     /* A node that the store turns away gets the list from others: their word counts, not its own
      * failures. */
     return reader_role_any_reader_is_healthy(cluster->membership);
 }
 
-static void write_revisions(struct cluster *cluster)
+static void update_self(struct cluster *cluster)
 {
     struct member_state *self = membership_self(cluster->membership);
     /* Nobody may take a part for the whole. */
-    self->state_revision = cluster->holds_all ? state_cache_revision(cluster->state) : 0;
+    self->state_revision = cluster->holds_full_state ? state_cache_revision(cluster->state) : 0;
     self->operator_revision = cluster->operator_revision;
-    self->store_sound = cluster->reader && store_reader_is_sound(cluster->reader);
+    self->store_sound = cluster->reader && store_reader_is_healthy(cluster->reader);
 }
 
 static void on_membership_send(void *context, uint32_t address,
@@ -151,13 +155,13 @@
     cluster_send(cluster, address, &with_digest);
 }
 
-void cluster_pass_on(struct cluster *cluster)
+void cluster_propagate_changes(struct cluster *cluster)
 {
-    write_revisions(cluster);
+    update_self(cluster);
     news_push(cluster);
 }
 
-static void tell_gateways(struct cluster *cluster)
+static void announce_to_gateways(struct cluster *cluster)
 {
     for (uint32_t i = 0; i < membership_count(cluster->membership); i++) {
         const struct member_state *member = membership_at(cluster->membership, i);
@@ -166,24 +170,24 @@
     }
 }
 
-void cluster_tell_draining(struct cluster *cluster)
+void cluster_announce_draining(struct cluster *cluster)
 {
     membership_self(cluster->membership)->draining = true;
     membership_self_changed(cluster->membership);
-    tell_gateways(cluster);
+    announce_to_gateways(cluster);
 }
 
-static void watch_store(struct cluster *cluster, uint64_t now)
+static void update_reader_role(struct cluster *cluster, uint64_t now)
 {
     if (!cluster->reader)
         return;
     reader_role_update(&cluster->role, cluster->membership, now);
     store_reader_set_duty(cluster->reader, cluster->role.duty);
-    write_revisions(cluster);
+    update_self(cluster);
     /* The own state is written at each message too: it says nothing of what others were told. */
     if (reader_role_must_announce(&cluster->role,
                                   membership_self(cluster->membership)->store_sound))
-        tell_gateways(cluster);
+        announce_to_gateways(cluster);
 }
 
 static void log_member_changes(struct cluster *cluster)
@@ -191,25 +195,25 @@
     uint32_t alive = membership_alive_count(cluster->membership, MEMBER_GATEWAY) +
                      membership_alive_count(cluster->membership, MEMBER_LOADER);
     metric_gauge_set(METRIC_LIVE_PEERS, alive);
-    if (alive != cluster->alive_before)
+    if (alive != cluster->last_alive_count)
         log_event(LOG_LEVEL_INFO, "cluster", "members", "alive=%u before=%u known=%u", alive,
-                  cluster->alive_before, membership_count(cluster->membership));
-    cluster->alive_before = alive;
+                  cluster->last_alive_count, membership_count(cluster->membership));
+    cluster->last_alive_count = alive;
 }
 
 /* Note when the start was over: a node that starts slowly is explained by what came late. */
-static void watch_start(struct cluster *cluster, uint64_t now)
+static void check_startup(struct cluster *cluster, uint64_t now)
 {
     bool has_state = cluster->operator_revision != 0;
-    bool is_settled = membership_is_converged(cluster->membership);
+    bool is_converged = membership_is_converged(cluster->membership);
     if (cluster->started)
         return;
     uint64_t took_ms = (now - cluster->opened_at) / 1000;
-    if (has_state && !cluster->state_known) {
-        cluster->state_known = true;
+    if (has_state && !cluster->has_operator_state) {
+        cluster->has_operator_state = true;
         metric_gauge_set(METRIC_STATE_MS, took_ms);
     }
-    if (!has_state || !is_settled)
+    if (!has_state || !is_converged)
         return;
     cluster->started = true;
     metric_gauge_set(METRIC_SETTLED_MS, took_ms);
@@ -219,7 +223,7 @@
 
 /* Once in each turn of the loop, before it waits for events: a pause is noticed in the turn in
  * which the process runs again. */
-static void on_look_at_clocks(uv_prepare_t *prepare)
+static void on_clock_check(uv_prepare_t *prepare)
 {
     struct cluster *cluster = prepare->data;
     struct wake wake =
@@ -229,50 +233,53 @@
     metric_add(METRIC_WAKES, 1);
     log_event(LOG_LEVEL_WARN, "cluster", "woke", "kind=%s pause_ms=%llu", wake_kind_name(wake.kind),
               (unsigned long long)(wake.pause_us / 1000));
-    cluster->callbacks.woke(cluster->callbacks.context, &wake);
+    cluster->callbacks.resumed_after_pause(cluster->callbacks.context, &wake);
     if (cluster->reader && wake.pause_us > WAKE_LONG_PAUSE_US)
-        store_reader_restart(cluster->reader);
+        store_reader_reconnect(cluster->reader);
 }
 
 static void on_tick(uv_timer_t *timer)
 {
     struct cluster *cluster = timer->data;
     uint64_t now = cluster_now();
-    watch_store(cluster, now);
-    write_revisions(cluster);
+    update_reader_role(cluster, now);
+    update_self(cluster);
     membership_tick(cluster->membership, now);
-    if (now >= cluster->next_round) {
-        cluster->next_round = now + ROUND_US;
+    if (now >= cluster->next_maintenance_at) {
+        cluster->next_maintenance_at = now + MAINTENANCE_INTERVAL_US;
         log_member_changes(cluster);
-        state_cache_trim(cluster->state, now > TOMBSTONE_US ? now - TOMBSTONE_US : 0);
+        state_cache_trim(cluster->state,
+                         now > TOMBSTONE_RETENTION_US ? now - TOMBSTONE_RETENTION_US : 0);
         crash_sync_trim(cluster->crashes, now);
     }
     state_sync_tick(cluster->sync, now);
-    watch_start(cluster, now);
-    uv_timer_start(timer, on_tick, cluster->started ? TICK_MS : FIRST_TICK_MS, 0);
+    check_startup(cluster, now);
+    uv_timer_start(timer, on_tick, cluster->started ? TICK_INTERVAL_MS : STARTUP_TICK_INTERVAL_MS,
+                   0);
 }
 
-static void take_sender(struct cluster *cluster, const Shuntrun__MemberMessage *message,
-                        uint32_t sender, uint64_t now)
+static void handle_sender(struct cluster *cluster, const Shuntrun__MemberMessage *message,
+                          uint32_t sender, uint64_t now)
 {
-    write_revisions(cluster);
+    update_self(cluster);
     membership_receive(cluster->membership, sender, message, now);
     if (message->changes)
-        state_sync_take(cluster->sync, message->changes);
+        state_sync_apply(cluster->sync, message->changes);
     /* A node that holds only the operator's part needs nothing else. */
-    bool ahead = cluster->holds_all
-                     ? message->sender->state_revision > state_cache_revision(cluster->state)
-                     : message->sender->operator_revision > cluster->operator_revision;
-    if (!ahead)
+    bool sender_is_newer =
+        cluster->holds_full_state
+            ? message->sender->state_revision > state_cache_revision(cluster->state)
+            : message->sender->operator_revision > cluster->operator_revision;
+    if (!sender_is_newer)
         return;
     const char *region = membership_self(cluster->membership)->region;
     bool near = strcmp(message->sender->region, region) == 0;
-    state_sync_heard(cluster->sync, sender, message->sender->state_revision, near, now);
+    state_sync_record_newer_peer(cluster->sync, sender, message->sender->state_revision, near, now);
 }
 
-static void note_contact(struct cluster *cluster, uint64_t now)
+static void record_contact(struct cluster *cluster, uint64_t now)
 {
-    if (cluster->heard_at && now > cluster->heard_at + ISOLATED_US) {
+    if (cluster->heard_at && now > cluster->heard_at + ISOLATION_TIMEOUT_US) {
         log_event(LOG_LEVEL_WARN, "cluster", "contact-regained", "silence_ms=%llu",
                   (unsigned long long)(now - cluster->heard_at) / 1000);
         cluster->isolated_until = now;
@@ -282,13 +289,14 @@
 
 bool cluster_was_isolated(const struct cluster *cluster, uint64_t since)
 {
-    bool still = cluster->heard_at && cluster_now() > cluster->heard_at + ISOLATED_US;
-    return still || cluster->isolated_until > since;
+    bool isolated_now =
+        cluster->heard_at && cluster_now() > cluster->heard_at + ISOLATION_TIMEOUT_US;
+    return isolated_now || cluster->isolated_until > since;
 }
 
 /* Whoever knows of an earlier process of a node that starts says so at once. */
-static void take_starts(struct cluster *cluster, const Shuntrun__MemberMessage *message,
-                        uint32_t sender, uint64_t now)
+static void record_start_times(struct cluster *cluster, const Shuntrun__MemberMessage *message,
+                               uint32_t sender, uint64_t now)
 {
     uint64_t uptime_us = message->uptime_ms * 1000;
     if (message->uptime_ms && now > uptime_us &&
@@ -297,9 +305,9 @@
     if (message->load)
         membership_record_engine_start(cluster->membership, sender, message->load->born);
     uint64_t age_us = message->earlier_age_ms * 1000;
-    if (message->earlier_age_ms && now > age_us && cluster->callbacks.predecessor_heard)
-        cluster->callbacks.predecessor_heard(cluster->callbacks.context, now - age_us + 1000,
-                                             message->earlier_born);
+    if (message->earlier_age_ms && now > age_us && cluster->callbacks.predecessor_reported)
+        cluster->callbacks.predecessor_reported(cluster->callbacks.context, now - age_us + 1000,
+                                                message->earlier_born);
 }
 
 static void on_datagram(uv_udp_t *socket, ssize_t size, const uv_buf_t *buffer,
@@ -316,11 +324,11 @@
         log_event(LOG_LEVEL_WARN, "cluster", "unreadable", "peer=%08x bytes=%zd", sender, size);
         return;
     }
-    note_contact(cluster, now);
-    take_starts(cluster, message, sender, now);
-    crash_sync_take(cluster->crashes, message, sender, now);
+    record_contact(cluster, now);
+    record_start_times(cluster, message, sender, now);
+    crash_sync_receive(cluster->crashes, message, sender, now);
     if (message->sender && message->sender->address == sender)
-        take_sender(cluster, message, sender, now);
+        handle_sender(cluster, message, sender, now);
     else
         membership_record_contact(cluster->membership, sender, now);
     if (message->load && cluster->callbacks.load_received)
@@ -372,7 +380,7 @@
     free(seeds);
 }
 
-static void fill_self(struct member_state *self, const struct settings *settings,
+static void init_self(struct member_state *self, const struct settings *settings,
                       enum member_role role)
 {
     struct in_addr ip = {0};
@@ -390,7 +398,7 @@
 
 static int open_sockets(struct cluster *cluster, uint32_t own)
 {
-    static const struct http_service_limits limits = {CALL_BODY_LIMIT, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {MAX_CALL_BODY_BYTES, HTTP_SERVICE_IDLE_MS};
     struct sockaddr_in address = cluster_address(cluster, own);
     cluster->service = http_service_start(cluster->loop, &address, &limits, on_call, cluster);
     if (!cluster->service) {
@@ -418,7 +426,7 @@
     cluster->settings = settings;
     cluster->callbacks = *callbacks;
     cluster->port = (uint16_t)settings->peer_port;
-    fill_self(&self, settings, role);
+    init_self(&self, settings, role);
     struct membership_driver driver = {cluster, on_membership_send};
     cluster->random.seed = hash_name(settings->name) ^ self.incarnation;
     cluster->membership =
@@ -430,20 +438,20 @@
     cluster->crashes = crash_sync_create(cluster);
     if (open_sockets(cluster, self.address))
         return 1;
-    cluster->holds_all = role == MEMBER_GATEWAY;
-    if (cluster->holds_all)
+    cluster->holds_full_state = role == MEMBER_GATEWAY;
+    if (cluster->holds_full_state)
         cluster->reader = store_reader_create(cluster);
     cluster->opened_at = cluster_now();
-    uv_prepare_init(loop, &cluster->looks_at_clocks);
-    cluster->looks_at_clocks.data = cluster;
-    uv_prepare_start(&cluster->looks_at_clocks, on_look_at_clocks);
+    uv_prepare_init(loop, &cluster->clock_check);
+    cluster->clock_check.data = cluster;
+    uv_prepare_start(&cluster->clock_check, on_clock_check);
     uv_timer_init(loop, &cluster->timer);
     cluster->timer.data = cluster;
-    uv_timer_start(&cluster->timer, on_tick, FIRST_TICK_MS, 0);
+    uv_timer_start(&cluster->timer, on_tick, STARTUP_TICK_INTERVAL_MS, 0);
     return 0;
 }
 
-uint32_t cluster_gateways(const struct cluster *cluster)
+uint32_t cluster_gateway_count(const struct cluster *cluster)
 {
     uint32_t alive = membership_alive_count(cluster->membership, MEMBER_GATEWAY);
     return alive ? alive : 1;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -34,9 +34,9 @@
     void (*suspects_changed)(void *context);
     /** Another node heard an earlier process of this one, and which start of its engine that
      *  reported last, 0: none; may be NULL. */
-    void (*predecessor_heard)(void *context, uint64_t heard_at, uint64_t engine_born);
+    void (*predecessor_reported)(void *context, uint64_t heard_at, uint64_t engine_born);
     /** The process did not run for a while. */
-    void (*woke)(void *context, const struct wake *wake);
+    void (*resumed_after_pause)(void *context, const struct wake *wake);
 };
 
 struct cluster {
@@ -46,7 +46,7 @@
     struct membership *membership;
     struct state_cache *state;
     struct http_service *service;
-    bool holds_all; /**< all that the platform publishes, not only the operator's part */
+    bool holds_full_state; /**< all that the platform publishes, not only the operator's part */
     struct store_reader *reader; /**< NULL on nodes that never read the store */
     struct reader_role role;
     struct state_sync *sync;
@@ -54,20 +54,20 @@
     uv_udp_t socket;
     uv_timer_t timer;
     uint16_t port; /**< of datagrams and calls, the same on all nodes */
-    uint64_t next_round;
+    uint64_t next_maintenance_at;
     uint64_t operator_revision; /**< of the newest change by the operator that is known here */
     uint64_t pushed_operator_revision; /**< up to which others were told of such changes */
     uint64_t pushed_revision;          /**< up to which others were told of all changes */
     struct wake_watch wake_watch;
-    uv_prepare_t looks_at_clocks;
+    uv_prepare_t clock_check;
     uint64_t opened_at;
-    bool state_known;        /**< the operator's part of the state came, for the first time */
+    bool has_operator_state; /**< the operator's part of the state came, for the first time */
     bool started;            /**< the state and most members are known, or were once */
     uint64_t heard_at;       /**< time of the last message of another node, 0: none yet */
     uint64_t isolated_until; /**< end of the last time in which no other node was heard, 0: none */
     struct random_stream random;
     struct load_targets load_targets;
-    uint32_t alive_before; /**< members alive at the last look */
+    uint32_t last_alive_count; /**< members alive at the last look */
 };
 
 /** \return 0, or 1 after the error was logged */
@@ -75,7 +75,7 @@
                  enum member_role role, const struct cluster_callbacks *callbacks);
 uint64_t cluster_now(void);
 /** \brief Tell the gateways at once that this node takes no new work. */
-void cluster_tell_draining(struct cluster *cluster);
+void cluster_announce_draining(struct cluster *cluster);
 /** \brief Send one message to one member. */
 void cluster_send(struct cluster *cluster, uint32_t address,
                   const Shuntrun__MemberMessage *message);
@@ -85,11 +85,11 @@
  */
 void cluster_send_load(struct cluster *cluster, Shuntrun__EngineLoad *load, bool far);
 /** \brief Tell others of what this node has learned lately. */
-void cluster_pass_on(struct cluster *cluster);
+void cluster_propagate_changes(struct cluster *cluster);
 /** \return whether this node reads the platform's store now */
 bool cluster_reads_store(const struct cluster *cluster);
 /** \return whether this node, or one that tells it, gets answers of the store */
-bool cluster_store_is_sound(const struct cluster *cluster);
+bool cluster_store_is_healthy(const struct cluster *cluster);
 /**
  * \return whether this node heard from no other for a while after `since`: what it learns late then
  * is its own fault, not the store's
@@ -98,7 +98,7 @@
 /** \brief Address of a node's service for other nodes. */
 struct sockaddr_in cluster_address(const struct cluster *cluster, uint32_t address);
 /** \return gateways that are alive, at least 1 */
-uint32_t cluster_gateways(const struct cluster *cluster);
+uint32_t cluster_gateway_count(const struct cluster *cluster);
 /** \return 0 same zone, 1 same region, 2 other region */
 uint16_t cluster_distance(const struct cluster *cluster, const char *zone);
 
--- a/src/cluster/crash_page.c
+++ b/src/cluster/crash_page.c
@@ -15,8 +15,8 @@
     return now > time ? (json_int_t)((now - time) / 1000) : 0;
 }
 
-static json_t *describe(const struct crash_table *table, const struct crash_entry *entry,
-                        uint64_t now)
+static json_t *entry_to_json(const struct crash_table *table, const struct crash_entry *entry,
+                             uint64_t now)
 {
     char identity[REQUEST_IDENTITY_HEX_SIZE];
     enum crash_verdict verdict = crash_table_verdict(table, &entry->identity, now);
@@ -39,7 +39,7 @@
     for (uint32_t i = 0; i < crash_table_count(table); i++) {
         const struct crash_entry *entry = crash_table_at(table, i);
         if (entry->crash_count)
-            json_array_append_new(list, describe(table, entry, now));
+            json_array_append_new(list, entry_to_json(table, entry, now));
     }
     char *text = json_dumps(list, JSON_COMPACT);
     service_reply(call, 200, "application/json", text, strlen(text));
@@ -52,8 +52,8 @@
     service_reply(call, status, "text/plain", text, strlen(text));
 }
 
-static void lift(struct crash_sync *sync, struct service_call *call,
-                 const struct service_request *request)
+static void lift_block(struct crash_sync *sync, struct service_call *call,
+                       const struct service_request *request)
 {
     char hex[REQUEST_IDENTITY_HEX_SIZE];
     struct request_identity identity;
@@ -69,7 +69,7 @@
     }
     log_event(LOG_LEVEL_WARN, "crash", "lifted", "identity=%s peer=%08x", hex,
               ntohl(request->peer.sin_addr.s_addr));
-    crash_sync_tell(sync);
+    crash_sync_send_updates(sync);
     reply_text(call, 200, "lifted\n");
 }
 
@@ -84,6 +84,6 @@
     else if (list)
         reply_list(context, call);
     else
-        lift(context, call, request);
+        lift_block(context, call, request);
     return true;
 }
--- a/src/cluster/crash_sync.c
+++ b/src/cluster/crash_sync.c
@@ -10,34 +10,34 @@
 #include <string.h>
 
 /** Requests in one message: some 2.5 kB. */
-#define SUSPECTS_MOST 24
+#define MAX_SUSPECTS_PER_MESSAGE 24
 /** Time between two answers to digests that differ: 24 requests, 4 times a second, are at most
  *  10 kB/s. While the same digests go on to differ, each wait is twice the last one. */
-#define REPAIR_US ((uint64_t)250000)
-#define REPAIR_MOST_US ((uint64_t)8000000)
+#define REPAIR_INTERVAL_US ((uint64_t)250000)
+#define MAX_REPAIR_INTERVAL_US ((uint64_t)8000000)
 /** Ends that are younger are told in such an answer, also those of requests with one end. */
-#define RECENT_US ((uint64_t)10000000)
+#define RECENT_CRASH_US ((uint64_t)10000000)
 /** Messages carry the same digest for so long: an end counts in it after 0.5 s only. */
-#define DIGEST_FOR_US ((uint64_t)100000)
+#define DIGEST_CACHE_US ((uint64_t)100000)
 
 struct crash_sync {
     struct cluster *cluster;
     struct crash_table *table;
-    uint64_t next_repair;
-    uint64_t repair_wait;
-    uint64_t repaired;     /* the difference of digests that was answered last */
-    uint32_t repair_place; /* in the table: the next answer goes on from there */
-    uint64_t digest;       /* of the table at `digest_at` */
+    uint64_t next_repair_at;
+    uint64_t repair_interval;
+    uint64_t last_difference; /* the difference of digests that was answered last */
+    uint32_t repair_position; /* in the table: the next answer goes on from there */
+    uint64_t digest;          /* of the table at `digest_at` */
     uint64_t digest_at;
 };
 
 /** Entries in the form of a message. */
 struct suspects_message {
     Shuntrun__MemberMessage message;
-    Shuntrun__CrashSuspect suspects[SUSPECTS_MOST];
-    Shuntrun__CrashSuspect *suspect_pointers[SUSPECTS_MOST];
-    Shuntrun__CrashStart starts[SUSPECTS_MOST][CRASH_MAX_EVENTS];
-    Shuntrun__CrashStart *start_pointers[SUSPECTS_MOST][CRASH_MAX_EVENTS];
+    Shuntrun__CrashSuspect suspects[MAX_SUSPECTS_PER_MESSAGE];
+    Shuntrun__CrashSuspect *suspect_pointers[MAX_SUSPECTS_PER_MESSAGE];
+    Shuntrun__CrashStart starts[MAX_SUSPECTS_PER_MESSAGE][CRASH_MAX_EVENTS];
+    Shuntrun__CrashStart *start_pointers[MAX_SUSPECTS_PER_MESSAGE][CRASH_MAX_EVENTS];
 };
 
 struct crash_sync *crash_sync_create(struct cluster *cluster)
@@ -56,7 +56,7 @@
 uint64_t crash_sync_digest(struct crash_sync *sync)
 {
     uint64_t now = cluster_now();
-    if (now >= sync->digest_at + DIGEST_FOR_US) {
+    if (now >= sync->digest_at + DIGEST_CACHE_US) {
         sync->digest = crash_table_digest(sync->table, now);
         sync->digest_at = now;
     }
@@ -77,7 +77,7 @@
     return now > time ? (now - time) / 1000 : 0;
 }
 
-static void begin_message(struct suspects_message *out)
+static void init_message(struct suspects_message *out)
 {
     shuntrun__member_message__init(&out->message);
     out->message.suspects = out->suspect_pointers;
@@ -85,18 +85,18 @@
 
 static void add_entry(struct suspects_message *out, struct crash_entry *entry, uint64_t now)
 {
-    size_t place = out->message.n_suspects++;
-    Shuntrun__CrashSuspect *suspect = &out->suspects[place];
+    size_t index = out->message.n_suspects++;
+    Shuntrun__CrashSuspect *suspect = &out->suspects[index];
     shuntrun__crash_suspect__init(suspect);
     suspect->identity.data = entry->identity.bytes;
     suspect->identity.len = sizeof entry->identity.bytes;
     suspect->cleared_age_ms = entry->cleared_at ? age_ms(entry->cleared_at, now) + 1 : 0;
     suspect->lease_start = entry->lease.incarnation;
     suspect->lease_age_ms = entry->lease.incarnation ? age_ms(entry->lease.since, now) : 0;
-    suspect->starts = out->start_pointers[place];
+    suspect->starts = out->start_pointers[index];
     suspect->n_starts = entry->crash_count;
     for (uint32_t i = 0; i < entry->crash_count; i++) {
-        Shuntrun__CrashStart *start = &out->starts[place][i];
+        Shuntrun__CrashStart *start = &out->starts[index][i];
         shuntrun__crash_start__init(start);
         start->start = entry->crashes[i].incarnation;
         start->attempt = entry->crashes[i].attempt;
@@ -107,9 +107,9 @@
         start->dead_ms = entry->crashes[i].detected_at
                              ? age_ms(entry->crashes[i].ended_at, entry->crashes[i].detected_at) + 1
                              : 0;
-        out->start_pointers[place][i] = start;
+        out->start_pointers[index][i] = start;
     }
-    out->suspect_pointers[place] = suspect;
+    out->suspect_pointers[index] = suspect;
 }
 
 /* Messages under way, one for each node that is told something. */
@@ -124,35 +124,35 @@
 static void send_outgoing(struct crash_sync *sync, struct outgoing *outgoing)
 {
     cluster_send(sync->cluster, outgoing->address, &outgoing->message.message);
-    begin_message(&outgoing->message);
+    init_message(&outgoing->message);
 }
 
-static struct outgoing *outgoing_to(struct outbox *outbox, uint32_t address)
+static struct outgoing *outgoing_for(struct outbox *outbox, uint32_t address)
 {
     for (uint32_t i = 0; i < outbox->count; i++)
         if (outbox->items[i].address == address)
             return &outbox->items[i];
     struct outgoing *outgoing = &outbox->items[outbox->count++];
     outgoing->address = address;
-    begin_message(&outgoing->message);
+    init_message(&outgoing->message);
     return outgoing;
 }
 
-static void tell_entry(struct crash_sync *sync, struct crash_entry *entry, struct outbox *outbox,
-                       uint64_t now)
+static void queue_entry(struct crash_sync *sync, struct crash_entry *entry, struct outbox *outbox,
+                        uint64_t now)
 {
     struct crash_receivers receivers;
     crash_spread_receivers(sync->cluster->membership, entry, &sync->cluster->random, &receivers);
     entry->is_dirty = false;
     for (uint32_t i = 0; i < receivers.count; i++) {
-        struct outgoing *outgoing = outgoing_to(outbox, receivers.addresses[i]);
+        struct outgoing *outgoing = outgoing_for(outbox, receivers.addresses[i]);
         add_entry(&outgoing->message, entry, now);
-        if (outgoing->message.message.n_suspects == SUSPECTS_MOST)
+        if (outgoing->message.message.n_suspects == MAX_SUSPECTS_PER_MESSAGE)
             send_outgoing(sync, outgoing);
     }
 }
 
-void crash_sync_tell(struct crash_sync *sync)
+void crash_sync_send_updates(struct crash_sync *sync)
 {
     uint64_t now = cluster_now();
     struct outbox outbox = {0};
@@ -163,7 +163,7 @@
         if (!outbox.items)
             outbox.items =
                 memory_zero(membership_count(sync->cluster->membership) + 1, sizeof *outbox.items);
-        tell_entry(sync, entry, &outbox, now);
+        queue_entry(sync, entry, &outbox, now);
     }
     for (uint32_t i = 0; i < outbox.count; i++)
         if (outbox.items[i].message.message.n_suspects)
@@ -172,9 +172,10 @@
 }
 
 /* Whoever stood still, or was held for dead, was not told of it. */
-static bool is_recent(const struct crash_entry *entry, uint64_t now)
+static bool has_recent_crash(const struct crash_entry *entry, uint64_t now)
 {
-    return entry->crash_count && now < entry->crashes[entry->crash_count - 1].ended_at + RECENT_US;
+    return entry->crash_count &&
+           now < entry->crashes[entry->crash_count - 1].ended_at + RECENT_CRASH_US;
 }
 
 /* What one message has no room for goes into the next one. */
@@ -182,11 +183,11 @@
 {
     struct suspects_message out;
     uint32_t count = crash_table_count(sync->table);
-    begin_message(&out);
-    for (uint32_t i = 0; i < count && out.message.n_suspects < SUSPECTS_MOST; i++) {
-        sync->repair_place = (sync->repair_place + 1) % count;
-        struct crash_entry *entry = crash_table_at(sync->table, sync->repair_place);
-        if (entry->shared || is_recent(entry, now))
+    init_message(&out);
+    for (uint32_t i = 0; i < count && out.message.n_suspects < MAX_SUSPECTS_PER_MESSAGE; i++) {
+        sync->repair_position = (sync->repair_position + 1) % count;
+        struct crash_entry *entry = crash_table_at(sync->table, sync->repair_position);
+        if (entry->shared || has_recent_crash(entry, now))
             add_entry(&out, entry, now);
     }
     if (out.message.n_suspects)
@@ -201,12 +202,13 @@
     uint64_t difference = digest ^ crash_table_digest(sync->table, now);
     bool is_loader = membership_self(sync->cluster->membership)->role == MEMBER_LOADER;
     if (!difference || sender->role != MEMBER_GATEWAY || (is_loader && digest) ||
-        now < sync->next_repair)
+        now < sync->next_repair_at)
         return;
-    uint64_t wait = difference == sync->repaired ? 2 * sync->repair_wait : REPAIR_US;
-    sync->repaired = difference;
-    sync->repair_wait = wait < REPAIR_MOST_US ? wait : REPAIR_MOST_US;
-    sync->next_repair = now + sync->repair_wait;
+    uint64_t wait =
+        difference == sync->last_difference ? 2 * sync->repair_interval : REPAIR_INTERVAL_US;
+    sync->last_difference = difference;
+    sync->repair_interval = wait < MAX_REPAIR_INTERVAL_US ? wait : MAX_REPAIR_INTERVAL_US;
+    sync->next_repair_at = now + sync->repair_interval;
     send_shared(sync, sender->address, now);
 }
 
@@ -218,7 +220,7 @@
     return now / 1000 > age ? now - age * 1000 : 1;
 }
 
-static struct crash_event read_start(const Shuntrun__CrashStart *start, uint64_t now)
+static struct crash_event read_crash(const Shuntrun__CrashStart *start, uint64_t now)
 {
     uint64_t ended_at = time_of_age(start->age_ms, now);
     return (struct crash_event){
@@ -244,24 +246,25 @@
         entry->lease =
             (struct crash_lease){suspect->lease_start, time_of_age(suspect->lease_age_ms, now)};
     for (size_t i = 0; i < suspect->n_starts && i < CRASH_MAX_EVENTS; i++)
-        entry->crashes[entry->crash_count++] = read_start(suspect->starts[i], now);
+        entry->crashes[entry->crash_count++] = read_crash(suspect->starts[i], now);
     return true;
 }
 
-static void log_learned(const struct crash_sync *sync, const struct crash_entry *told,
+static void log_learned(const struct crash_sync *sync, const struct crash_entry *received,
                         uint32_t sender, uint64_t now)
 {
     char identity[REQUEST_IDENTITY_HEX_SIZE];
-    const struct crash_entry *entry = crash_table_find(sync->table, &told->identity);
-    bool blocked = crash_table_verdict(sync->table, &told->identity, now) == CRASH_VERDICT_BLOCKED;
-    request_identity_to_hex(&told->identity, identity);
+    const struct crash_entry *entry = crash_table_find(sync->table, &received->identity);
+    bool blocked =
+        crash_table_verdict(sync->table, &received->identity, now) == CRASH_VERDICT_BLOCKED;
+    request_identity_to_hex(&received->identity, identity);
     log_event(LOG_LEVEL_INFO, "crash", "learned", "identity=%s starts=%u peer=%08x outcome=%s",
               identity, entry->crash_count, sender, blocked ? "blocked" : "suspect");
 }
 
 /* \return whether anything of it is new */
-static bool take_suspects(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
-                          uint32_t sender, uint64_t now)
+static bool merge_suspects(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
+                           uint32_t sender, uint64_t now)
 {
     bool changed = false;
     for (size_t i = 0; i < message->n_suspects; i++) {
@@ -280,11 +283,11 @@
     return changed;
 }
 
-void crash_sync_take(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
-                     uint32_t sender, uint64_t now)
+void crash_sync_receive(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
+                        uint32_t sender, uint64_t now)
 {
-    if (take_suspects(sync, message, sender, now)) {
-        crash_sync_tell(sync);
+    if (merge_suspects(sync, message, sender, now)) {
+        crash_sync_send_updates(sync);
         if (sync->cluster->callbacks.suspects_changed)
             sync->cluster->callbacks.suspects_changed(sync->cluster->callbacks.context);
     }
--- a/src/cluster/crash_sync.h
+++ b/src/cluster/crash_sync.h
@@ -16,10 +16,10 @@
 struct crash_sync *crash_sync_create(struct cluster *cluster);
 struct crash_table *crash_sync_table(const struct crash_sync *sync);
 /** \brief Tell other nodes what they were not told yet. */
-void crash_sync_tell(struct crash_sync *sync);
+void crash_sync_send_updates(struct crash_sync *sync);
 /** \brief Take what a message holds of it. */
-void crash_sync_take(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
-                     uint32_t sender, uint64_t now);
+void crash_sync_receive(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
+                        uint32_t sender, uint64_t now);
 /** \brief Forget what is too old. */
 void crash_sync_trim(struct crash_sync *sync, uint64_t now);
 /** \return a digest of what all gateways keep, up to 0.1 s old; 0: of nothing */
--- a/src/cluster/message_count.c
+++ b/src/cluster/message_count.c
@@ -18,7 +18,7 @@
     {METRIC_MESSAGES_CHANGES_NEAR, METRIC_MESSAGES_CHANGES_FAR},
     {METRIC_BYTES_CHANGES_NEAR, METRIC_BYTES_CHANGES_FAR}};
 
-static const struct kind_counters *kind_of(const Shuntrun__MemberMessage *message)
+static const struct kind_counters *counters_for(const Shuntrun__MemberMessage *message)
 {
     if (message->load)
         return &loads;
@@ -27,9 +27,9 @@
     return message->n_digests || message->from_table ? &tables : &probes;
 }
 
-void message_count(const Shuntrun__MemberMessage *message, size_t size, bool far)
+void message_count_sent(const Shuntrun__MemberMessage *message, size_t size, bool far)
 {
-    const struct kind_counters *counters = kind_of(message);
+    const struct kind_counters *counters = counters_for(message);
     metric_add(counters->messages[far], 1);
     metric_add(counters->bytes[far], size);
 }
--- a/src/cluster/message_count.h
+++ b/src/cluster/message_count.h
@@ -11,6 +11,6 @@
 #include <stddef.h>
 
 /** \brief Count a message that is sent. \param size bytes \param far to another region */
-void message_count(const Shuntrun__MemberMessage *message, size_t size, bool far);
+void message_count_sent(const Shuntrun__MemberMessage *message, size_t size, bool far);
 
 #endif
--- a/src/cluster/news_push.c
+++ b/src/cluster/news_push.c
@@ -7,20 +7,20 @@
 #include <string.h>
 
 /** Larger changes do not travel in a message. */
-#define PUSH_BYTES_MOST 4000
-#define PUSH_ITEMS_MOST 24
+#define MAX_PUSH_BYTES 4000
+#define MAX_PUSH_ITEMS 24
 
 /** Changes in the form of a message; points into the state. */
 struct pushed_changes {
     Shuntrun__StateChanges changes;
-    Shuntrun__StateItem items[PUSH_ITEMS_MOST];
-    Shuntrun__StateItem *pointers[PUSH_ITEMS_MOST];
+    Shuntrun__StateItem items[MAX_PUSH_ITEMS];
+    Shuntrun__StateItem *pointers[MAX_PUSH_ITEMS];
     bool fits;
 };
 
 static void add_item(struct pushed_changes *pushed, const struct state_item *item, uint64_t now)
 {
-    if (pushed->changes.n_items == PUSH_ITEMS_MOST) {
+    if (pushed->changes.n_items == MAX_PUSH_ITEMS) {
         pushed->fits = false;
         return;
     }
@@ -29,8 +29,8 @@
     pushed->pointers[pushed->changes.n_items++] = out;
 }
 
-static void collect(const struct cluster *cluster, uint64_t after, uint64_t revision,
-                    bool operator_only, struct pushed_changes *pushed)
+static void collect_changes(const struct cluster *cluster, uint64_t after, uint64_t revision,
+                            bool operator_only, struct pushed_changes *pushed)
 {
     const struct state_cache *state = cluster->state;
     uint64_t now = cluster_now();
@@ -43,28 +43,28 @@
                                            : state_cache_has_delta_since(state, after));
     for (uint32_t i = 0; pushed->fits && i < state_cache_count(state); i++) {
         const struct state_item *item = state_cache_at(state, i);
-        if (item->revision > after && (!operator_only || state_message_is_of_operator(item)))
+        if (item->revision > after && (!operator_only || state_message_is_operator_item(item)))
             add_item(pushed, item, now);
     }
     if (pushed->fits)
-        pushed->fits =
-            shuntrun__state_changes__get_packed_size(&pushed->changes) <= PUSH_BYTES_MOST;
+        pushed->fits = shuntrun__state_changes__get_packed_size(&pushed->changes) <= MAX_PUSH_BYTES;
 }
 
-static void tell(struct cluster *cluster, uint32_t address, struct pushed_changes *pushed)
+static void send_changes(struct cluster *cluster, uint32_t address, struct pushed_changes *pushed)
 {
     membership_send_changes(cluster->membership, address, pushed->fits ? &pushed->changes : NULL);
 }
 
 /* Gateways of the own region that do not read the store. */
-static void tell_region(struct cluster *cluster, uint64_t revision, struct pushed_changes *pushed)
+static void send_to_region(struct cluster *cluster, uint64_t revision,
+                           struct pushed_changes *pushed)
 {
     const struct member_state *self = membership_self(cluster->membership);
     for (uint32_t i = 0; i < membership_count(cluster->membership); i++) {
         const struct member_state *member = membership_at(cluster->membership, i);
         if (member->role == MEMBER_GATEWAY && member_is_alive(member) && !member->store_sound &&
             member->state_revision < revision && strcmp(member->region, self->region) == 0)
-            tell(cluster, member->address, pushed);
+            send_changes(cluster, member->address, pushed);
     }
 }
 
@@ -76,8 +76,8 @@
     cluster->pushed_revision = revision;
     if (revision <= before || !cluster_reads_store(cluster))
         return;
-    collect(cluster, before, revision, false, &pushed);
-    tell_region(cluster, revision, &pushed);
+    collect_changes(cluster, before, revision, false, &pushed);
+    send_to_region(cluster, revision, &pushed);
 }
 
 static void push_operator_change(struct cluster *cluster)
@@ -88,11 +88,11 @@
     cluster->pushed_operator_revision = revision;
     if (revision <= before)
         return;
-    collect(cluster, before, revision, true, &pushed);
+    collect_changes(cluster, before, revision, true, &pushed);
     uint32_t count;
     uint32_t *addresses = news_targets(cluster->membership, revision, &cluster->random, &count);
     for (uint32_t i = 0; i < count; i++)
-        tell(cluster, addresses[i], &pushed);
+        send_changes(cluster, addresses[i], &pushed);
     free(addresses);
 }
 
--- a/src/cluster/process.c
+++ b/src/cluster/process.c
@@ -9,9 +9,9 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#define METRICS_BODY_LIMIT 4096
-#define FINDINGS_LOGGED_MOST 20
-#define FRAMES_MOST 40
+#define MAX_METRICS_BODY_BYTES 4096
+#define MAX_LOGGED_FINDINGS 20
+#define MAX_STACK_FRAMES 40
 
 int process_open(struct process *process, enum setting_role role, int argc, char **argv,
                  struct settings *settings)
@@ -31,15 +31,15 @@
 static void on_fatal_signal(int number)
 {
     static const char text[] = "event=crashed, stack:\n";
-    void *frames[FRAMES_MOST];
-    int count = backtrace(frames, FRAMES_MOST);
+    void *frames[MAX_STACK_FRAMES];
+    int count = backtrace(frames, MAX_STACK_FRAMES);
     if (write(STDERR_FILENO, text, sizeof text - 1) > 0)
         backtrace_symbols_fd(frames, count, STDERR_FILENO);
     signal(number, SIG_DFL);
     raise(number);
 }
 
-static void watch_fatal_signals(void)
+static void install_fatal_signal_handlers(void)
 {
     static const int numbers[] = {SIGSEGV, SIGBUS, SIGABRT, SIGFPE, SIGILL};
     for (size_t i = 0; i < sizeof numbers / sizeof numbers[0]; i++)
@@ -66,8 +66,8 @@
     uv_signal_start(handle, callback, number);
 }
 
-static void on_metrics(void *context, struct service_call *call,
-                       const struct service_request *request)
+static void on_metrics_request(void *context, struct service_call *call,
+                               const struct service_request *request)
 {
     size_t size;
     const struct process *process = context;
@@ -83,12 +83,12 @@
     free(text);
 }
 
-static void open_metrics(struct process *process, uv_loop_t *loop)
+static void start_metrics_service(struct process *process, uv_loop_t *loop)
 {
-    static const struct http_service_limits limits = {METRICS_BODY_LIMIT, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {MAX_METRICS_BODY_BYTES, HTTP_SERVICE_IDLE_MS};
     struct sockaddr_in address;
     uv_ip4_addr(process->settings->address, (int)process->settings->metrics_port, &address);
-    process->metrics = http_service_start(loop, &address, &limits, on_metrics, process);
+    process->metrics = http_service_start(loop, &address, &limits, on_metrics_request, process);
     if (!process->metrics)
         log_event(LOG_LEVEL_WARN, "process", "metrics-failed", "port=%llu error=\"%s\"",
                   (unsigned long long)process->settings->metrics_port, status_message());
@@ -100,11 +100,11 @@
     process->stop = stop;
     process->context = context;
     signal(SIGPIPE, SIG_IGN);
-    watch_fatal_signals();
+    install_fatal_signal_handlers();
     watch_signal(loop, &process->terminate, SIGTERM, on_stop_signal, process);
     watch_signal(loop, &process->interrupt, SIGINT, on_stop_signal, process);
     watch_signal(loop, &process->reload, SIGHUP, on_reload_signal, process);
-    open_metrics(process, loop);
+    start_metrics_service(process, loop);
     log_event(LOG_LEVEL_INFO, "process", "start", "version=" SHUNTRUN_VERSION " address=%s zone=%s",
               process->settings->address, process->settings->zone);
     uv_run(loop, UV_RUN_DEFAULT);
@@ -114,7 +114,7 @@
 
 void process_log_findings(const struct findings *findings, uint64_t revision)
 {
-    for (size_t i = 0; i < findings->count && i < FINDINGS_LOGGED_MOST; i++)
+    for (size_t i = 0; i < findings->count && i < MAX_LOGGED_FINDINGS; i++)
         log_event(LOG_LEVEL_ERROR, "config", "refused", "revision=%llu place=\"%s\" problem=\"%s\"",
                   (unsigned long long)revision, findings->items[i].place, findings->items[i].text);
 }
--- a/src/cluster/process.h
+++ b/src/cluster/process.h
@@ -13,8 +13,8 @@
 struct service_request;
 
 /** More pages at the metrics address. \return whether the call was for one, and is answered */
-typedef bool process_page(void *context, struct service_call *call,
-                          const struct service_request *request);
+typedef bool process_page_handler(void *context, struct service_call *call,
+                                  const struct service_request *request);
 
 struct process {
     uv_signal_t terminate;
@@ -24,7 +24,7 @@
     const struct settings *settings;
     void (*stop)(struct process *process);
     void *context;
-    process_page *page; /**< or NULL; set before process_run() */
+    process_page_handler *page; /**< or NULL; set before process_run() */
     void *page_context;
 };
 
--- a/src/cluster/state_message.c
+++ b/src/cluster/state_message.c
@@ -14,7 +14,7 @@
     out->from_outage = item->from_outage;
 }
 
-bool state_message_is_of_operator(const struct state_item *item)
+bool state_message_is_operator_item(const struct state_item *item)
 {
     char name[PLATFORM_TEXT_SIZE];
     return platform_item_kind(item->key, name, sizeof name) != ITEM_BACKEND;
--- a/src/cluster/state_message.h
+++ b/src/cluster/state_message.h
@@ -11,6 +11,6 @@
 void state_message_write_item(const struct state_item *item, uint64_t now,
                               Shuntrun__StateItem *out);
 /** \return whether the operator wrote the item, not a back end */
-bool state_message_is_of_operator(const struct state_item *item);
+bool state_message_is_operator_item(const struct state_item *item);
 
 #endif
--- a/src/cluster/state_sync.c
+++ b/src/cluster/state_sync.c
@@ -11,19 +11,19 @@
 #include <zstd.h>
 
 #define STATE_PATH "/state"
-#define TIMEOUT_MS 1200
-#define ANSWER_LIMIT (32U << 20)
+#define REQUEST_TIMEOUT_MS 1200
+#define MAX_RESPONSE_BYTES (32U << 20)
 #define COMPRESSION_LEVEL 1
 /** A node that reads the store itself gets the change in this time; only then are peers asked. */
-#define READER_GRACE_US 250000
+#define STORE_READER_GRACE_US 250000
 
 struct state_sync {
     struct cluster *cluster;
     uint32_t peer; /* the one that is ahead, 0: none */
     uint64_t peer_revision;
-    uint64_t heard_at; /* first time that somebody was ahead of this node */
+    uint64_t behind_since; /* first time that somebody was ahead of this node */
     struct http_caller *caller;
-    bool asking;
+    bool request_pending;
 };
 
 struct state_sync *state_sync_create(struct cluster *cluster)
@@ -33,7 +33,7 @@
     return sync;
 }
 
-static void take_items(struct state_sync *sync, const Shuntrun__StateChanges *changes)
+static void apply_items(struct state_sync *sync, const Shuntrun__StateChanges *changes)
 {
     struct state_cache *state = sync->cluster->state;
     uint64_t now = cluster_now();
@@ -41,25 +41,25 @@
         const Shuntrun__StateItem *item = changes->items[i];
         uint64_t age = item->age_ms * 1000;
         uint64_t learned = now > age ? now - age : 0;
-        struct state_removal loss = {learned, item->from_outage};
+        struct state_removal removal = {learned, item->from_outage};
         if (item->gone)
-            state_cache_remove(state, item->key, item->revision, &loss);
+            state_cache_remove(state, item->key, item->revision, &removal);
         else
             state_cache_put(state, item->key, (const char *)item->value.data, item->value.len,
                             item->revision, learned);
     }
 }
 
-static void take_changes(struct state_sync *sync, const Shuntrun__StateChanges *changes)
+static void apply_changes(struct state_sync *sync, const Shuntrun__StateChanges *changes)
 {
     struct state_cache *state = sync->cluster->state;
     if (changes->whole)
         state_cache_snapshot_begin(state, "");
-    take_items(sync, changes);
+    apply_items(sync, changes);
     /* This node was so far behind that nobody knows when what is missing went: long ago. */
-    struct state_removal loss = {.learned = 1};
+    struct state_removal removal = {.learned = 1};
     if (changes->whole)
-        state_cache_snapshot_end(state, "", changes->revision, &loss);
+        state_cache_snapshot_end(state, "", changes->revision, &removal);
     state_cache_advance(state, changes->revision);
 }
 
@@ -68,7 +68,7 @@
 {
     unsigned long long length = ZSTD_getFrameContentSize(bytes, size);
     if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN ||
-        length > ANSWER_LIMIT)
+        length > MAX_RESPONSE_BYTES)
         return NULL;
     uint8_t *plain = memory_zero(length, 1);
     size_t plain_size = ZSTD_decompress(plain, length, bytes, size);
@@ -79,13 +79,13 @@
     return changes;
 }
 
-static void on_changes(void *context, enum call_result result, const struct http_message *message)
+static void on_response(void *context, enum call_result result, const struct http_message *message)
 {
     struct state_sync *sync = context;
-    sync->asking = false;
+    sync->request_pending = false;
     uint32_t peer = sync->peer;
     sync->peer = 0;
-    sync->heard_at = 0;
+    sync->behind_since = 0;
     unsigned status = result == CALL_ANSWERED ? http_message_status(message) : 0;
     if (status != 200) {
         log_event(LOG_LEVEL_WARN, "state", "peer-failed", "peer=%08x result=\"%s\" status=%u", peer,
@@ -103,32 +103,32 @@
               (unsigned long long)changes->revision,
               (unsigned long long)state_cache_revision(sync->cluster->state), changes->n_items);
     metric_add(METRIC_STATE_FROM_PEER, 1);
-    take_changes(sync, changes);
+    apply_changes(sync, changes);
     shuntrun__state_changes__free_unpacked(changes, NULL);
-    cluster_pass_on(sync->cluster);
+    cluster_propagate_changes(sync->cluster);
 }
 
-static void ask(struct state_sync *sync)
+static void send_request(struct state_sync *sync)
 {
     char target[64];
     struct sockaddr_in address = cluster_address(sync->cluster, sync->peer);
     if (sync->caller)
         http_caller_destroy(sync->caller);
     sync->caller = http_caller_create(sync->cluster->loop, &address);
-    sync->asking = true;
+    sync->request_pending = true;
     snprintf(target, sizeof target, STATE_PATH "?after=%llu%s",
              (unsigned long long)state_cache_revision(sync->cluster->state),
-             sync->cluster->holds_all ? "" : "&operator=1");
+             sync->cluster->holds_full_state ? "" : "&operator=1");
     struct caller_request request = {.method = "GET",
                                      .target = target,
-                                     .timeout_ms = TIMEOUT_MS,
-                                     .body_limit = ANSWER_LIMIT,
-                                     .done = on_changes,
+                                     .timeout_ms = REQUEST_TIMEOUT_MS,
+                                     .body_limit = MAX_RESPONSE_BYTES,
+                                     .done = on_response,
                                      .context = sync};
     http_caller_send(sync->caller, &request);
 }
 
-bool state_sync_take(struct state_sync *sync, const Shuntrun__StateChanges *changes)
+bool state_sync_apply(struct state_sync *sync, const Shuntrun__StateChanges *changes)
 {
     struct cluster *cluster = sync->cluster;
     uint64_t known =
@@ -137,41 +137,41 @@
         return false;
     if (changes->revision <= known)
         return true;
-    take_items(sync, changes);
+    apply_items(sync, changes);
     if (!changes->operator_only)
         state_cache_advance(cluster->state, changes->revision);
-    cluster_pass_on(cluster);
+    cluster_propagate_changes(cluster);
     return true;
 }
 
 /* Who reads the store itself gets the change by itself, others are told by somebody near. */
-static bool asks_at_once(const struct state_sync *sync, bool near)
+static bool requests_immediately(const struct state_sync *sync, bool near)
 {
     return near && !cluster_reads_store(sync->cluster);
 }
 
-void state_sync_heard(struct state_sync *sync, uint32_t peer, uint64_t revision, bool near,
-                      uint64_t now)
+void state_sync_record_newer_peer(struct state_sync *sync, uint32_t peer, uint64_t revision,
+                                  bool near, uint64_t now)
 {
-    if (sync->asking)
+    if (sync->request_pending)
         return;
-    if (!sync->heard_at)
-        sync->heard_at = now;
+    if (!sync->behind_since)
+        sync->behind_since = now;
     sync->peer = peer;
     sync->peer_revision = revision;
-    if (asks_at_once(sync, near))
-        ask(sync);
+    if (requests_immediately(sync, near))
+        send_request(sync);
 }
 
 void state_sync_tick(struct state_sync *sync, uint64_t now)
 {
-    if (sync->asking || !sync->peer)
+    if (sync->request_pending || !sync->peer)
         return;
     if (sync->peer_revision <= state_cache_revision(sync->cluster->state)) {
         sync->peer = 0;
-        sync->heard_at = 0;
-    } else if (now >= sync->heard_at + READER_GRACE_US) {
-        ask(sync);
+        sync->behind_since = 0;
+    } else if (now >= sync->behind_since + STORE_READER_GRACE_US) {
+        send_request(sync);
     }
 }
 
@@ -188,7 +188,7 @@
 }
 
 /* The operator's items change and never go; of back ends, removals must be told too. */
-static bool can_tell_changes(const struct state_cache *state, uint64_t after, bool operator_only)
+static bool can_send_delta(const struct state_cache *state, uint64_t after, bool operator_only)
 {
     if (!after)
         return false;
@@ -201,18 +201,18 @@
 {
     const struct state_cache *state = sync->cluster->state;
     uint64_t now = cluster_now();
-    uint32_t most = state_cache_count(state);
-    Shuntrun__StateItem *items = memory_zero(most, sizeof *items);
-    Shuntrun__StateItem **pointers = memory_zero(most, sizeof *pointers);
+    uint32_t capacity = state_cache_count(state);
+    Shuntrun__StateItem *items = memory_zero(capacity, sizeof *items);
+    Shuntrun__StateItem **pointers = memory_zero(capacity, sizeof *pointers);
     Shuntrun__StateChanges changes = SHUNTRUN__STATE_CHANGES__INIT;
-    changes.whole = !can_tell_changes(state, after, operator_only);
+    changes.whole = !can_send_delta(state, after, operator_only);
     changes.revision = state_cache_revision(state);
     changes.items = pointers;
-    for (uint32_t i = 0; i < most; i++) {
+    for (uint32_t i = 0; i < capacity; i++) {
         const struct state_item *item = state_cache_at(state, i);
         if (changes.whole ? item->gone : item->revision <= after)
             continue;
-        if (operator_only && !state_message_is_of_operator(item))
+        if (operator_only && !state_message_is_operator_item(item))
             continue;
         state_message_write_item(item, now, &items[changes.n_items]);
         pointers[changes.n_items] = &items[changes.n_items];
--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ANSWER_LIMIT (32U << 20)
+#define MAX_RESPONSE_BYTES (32U << 20)
 #define KEY_SIZE 256
 
 struct store_reader {
@@ -20,8 +20,8 @@
     struct http_caller *caller;
     uv_timer_t timer; /* until the next call */
     struct store_watch watch;
-    uint64_t page_revision;  /* of the whole that is being read */
-    char page_key[KEY_SIZE]; /* the last key of the page before */
+    uint64_t snapshot_revision;   /* of the whole that is being read */
+    char last_page_key[KEY_SIZE]; /* the last key of the page before */
     enum reader_duty duty;
 };
 
@@ -38,81 +38,81 @@
         log_event(LOG_LEVEL_WARN, "store", "lost", "reason=\"%s\" revision=%" PRIu64, reason,
                   reader->watch.revision);
     metric_add(METRIC_STORE_FAILURES, 1);
-    reader->page_key[0] = 0;
+    reader->last_page_key[0] = 0;
     uv_timer_start(&reader->timer, on_timer, store_watch_failed(&reader->watch, failure), 0);
 }
 
-static struct state_removal loss_now(const struct store_reader *reader)
+static struct state_removal make_removal(const struct store_reader *reader)
 {
-    bool own_gap = cluster_was_isolated(reader->cluster, reader->watch.answered_at);
-    return store_watch_removal(&reader->watch, own_gap, cluster_now());
+    bool was_isolated = cluster_was_isolated(reader->cluster, reader->watch.answered_at);
+    return store_watch_removal(&reader->watch, was_isolated, cluster_now());
 }
 
-static void take_items(struct store_reader *reader, const struct store_answer *answer)
+static void apply_items(struct store_reader *reader, const struct store_answer *answer)
 {
     struct state_cache *state = reader->cluster->state;
-    struct state_removal loss = loss_now(reader);
+    struct state_removal removal = make_removal(reader);
     uint64_t now = cluster_now();
     for (uint32_t i = 0; i < answer->count; i++) {
         const struct store_item *item = &answer->items[i];
         if (item->gone)
-            state_cache_remove(state, item->key, item->revision, &loss);
+            state_cache_remove(state, item->key, item->revision, &removal);
         else
             state_cache_put(state, item->key, item->value, item->size, item->revision, now);
     }
 }
 
 /* \return the revision of the whole once all of its pages are in, else 0 */
-static uint64_t take_page(struct store_reader *reader, const struct store_answer *answer)
+static uint64_t apply_page(struct store_reader *reader, const struct store_answer *answer)
 {
     struct state_cache *state = reader->cluster->state;
-    if (!reader->page_key[0]) {
-        reader->page_revision = answer->revision;
+    if (!reader->last_page_key[0]) {
+        reader->snapshot_revision = answer->revision;
         state_cache_snapshot_begin(state, PLATFORM_ALL_KEYS);
     }
-    take_items(reader, answer);
+    apply_items(reader, answer);
     if (answer->more && answer->count) {
-        snprintf(reader->page_key, sizeof reader->page_key, "%s",
+        snprintf(reader->last_page_key, sizeof reader->last_page_key, "%s",
                  answer->items[answer->count - 1].key);
         return 0;
     }
-    reader->page_key[0] = 0;
-    struct state_removal loss = loss_now(reader);
-    state_cache_snapshot_end(state, PLATFORM_ALL_KEYS, reader->page_revision, &loss);
-    log_event(LOG_LEVEL_INFO, "store", "read", "revision=%" PRIu64, reader->page_revision);
-    return reader->page_revision;
+    reader->last_page_key[0] = 0;
+    struct state_removal removal = make_removal(reader);
+    state_cache_snapshot_end(state, PLATFORM_ALL_KEYS, reader->snapshot_revision, &removal);
+    log_event(LOG_LEVEL_INFO, "store", "read", "revision=%" PRIu64, reader->snapshot_revision);
+    return reader->snapshot_revision;
 }
 
-static uint64_t take_changes(struct store_reader *reader, const struct store_answer *answer)
+static uint64_t apply_changes(struct store_reader *reader, const struct store_answer *answer)
 {
-    take_items(reader, answer);
+    apply_items(reader, answer);
     return answer->revision;
 }
 
-static void gather(struct store_reader *reader)
+static void delay_next_call(struct store_reader *reader)
 {
     uint64_t bound_ms = reader->cluster->settings->drain_bound_ms;
     uv_timer_start(&reader->timer, on_timer, reader_role_batch_delay_ms(reader->duty, bound_ms), 0);
 }
 
-static void take_answer(struct store_reader *reader, const struct store_answer *answer)
+static void handle_response(struct store_reader *reader, const struct store_answer *answer)
 {
-    bool whole = !reader->watch.revision;
-    uint64_t revision = whole ? take_page(reader, answer) : take_changes(reader, answer);
+    bool is_snapshot = !reader->watch.revision;
+    uint64_t revision = is_snapshot ? apply_page(reader, answer) : apply_changes(reader, answer);
     if (reader->watch.failures)
         log_event(LOG_LEVEL_INFO, "store", "regained", "failures=%u outage=%d gap_ms=%" PRIu64,
                   reader->watch.failures, reader->watch.outage,
                   (cluster_now() - reader->watch.answered_at) / 1000);
     store_watch_answered(&reader->watch, revision, cluster_now());
     state_cache_advance(reader->cluster->state, reader->watch.revision);
-    cluster_pass_on(reader->cluster);
+    cluster_propagate_changes(reader->cluster);
     if (reader->watch.revision && answer->count)
-        gather(reader);
+        delay_next_call(reader);
     else
         call_store(reader);
 }
 
-static enum store_failure failure_of(enum call_result result)
+static enum store_failure failure_from_result(enum call_result result)
 {
     switch (result) {
     case CALL_BROKEN:
@@ -124,7 +124,7 @@
     }
 }
 
-static void on_answer(void *context, enum call_result result, const struct http_message *message)
+static void on_response(void *context, enum call_result result, const struct http_message *message)
 {
     struct store_reader *reader = context;
     struct store_answer answer;
@@ -132,7 +132,7 @@
     if (reader->duty == READER_INACTIVE)
         return;
     if (result != CALL_ANSWERED) {
-        on_failure(reader, failure_of(result), call_result_name(result));
+        on_failure(reader, failure_from_result(result), call_result_name(result));
         return;
     }
     unsigned status = http_message_status(message);
@@ -152,7 +152,7 @@
     if (answer.left_out)
         log_event(LOG_LEVEL_ERROR, "store", "left-out", "items=%u of=%u revision=%" PRIu64,
                   answer.left_out, answer.left_out + answer.count, answer.revision);
-    take_answer(reader, &answer);
+    handle_response(reader, &answer);
     store_answer_clear(&answer);
 }
 
@@ -163,14 +163,14 @@
     struct store_call call = store_watch_next_call(&reader->watch);
     struct caller_request request = {.method = "GET",
                                      .timeout_ms = call.timeout_ms,
-                                     .body_limit = ANSWER_LIMIT,
-                                     .done = on_answer,
+                                     .body_limit = MAX_RESPONSE_BYTES,
+                                     .done = on_response,
                                      .context = reader};
     if (call.watches)
         platform_write_watch_call(PLATFORM_ALL_KEYS, reader->watch.revision, call.wait_ms, &target);
     else
-        platform_write_range_call(PLATFORM_ALL_KEYS, reader->page_key[0] ? reader->page_key : NULL,
-                                  &target);
+        platform_write_range_call(PLATFORM_ALL_KEYS,
+                                  reader->last_page_key[0] ? reader->last_page_key : NULL, &target);
     buffer_append(&target, "", 1);
     request.target = target.data;
     metric_add(METRIC_PLATFORM_CALLS, 1);
@@ -194,15 +194,15 @@
     return reader;
 }
 
-static void stop(struct store_reader *reader)
+static void stop_reading(struct store_reader *reader)
 {
     uv_timer_stop(&reader->timer);
     http_caller_abort(reader->caller);
-    reader->page_key[0] = 0;
+    reader->last_page_key[0] = 0;
 }
 
 /* Peers told what happened meanwhile: the watch goes on from there. */
-static void resume(struct store_reader *reader)
+static void resume_reading(struct store_reader *reader)
 {
     store_watch_init(&reader->watch, state_cache_revision(reader->cluster->state), cluster_now());
     call_store(reader);
@@ -221,7 +221,7 @@
 }
 
 /* The leader failed while this node gathered at its slow pace. */
-static void hurry(struct store_reader *reader)
+static void skip_batch_delay(struct store_reader *reader)
 {
     if (uv_is_active((uv_handle_t *)&reader->timer) && !reader->watch.failures)
         uv_timer_start(&reader->timer, on_timer, 0, 0);
@@ -236,19 +236,19 @@
               state_cache_revision(reader->cluster->state));
     reader->duty = duty;
     if (duty == READER_INACTIVE)
-        stop(reader);
+        stop_reading(reader);
     else if (before == READER_INACTIVE)
-        resume(reader);
+        resume_reading(reader);
     else if (duty == READER_LEADER)
-        hurry(reader);
+        skip_batch_delay(reader);
 }
 
-void store_reader_restart(struct store_reader *reader)
+void store_reader_reconnect(struct store_reader *reader)
 {
     http_caller_abort(reader->caller);
 }
 
-bool store_reader_is_sound(const struct store_reader *reader)
+bool store_reader_is_healthy(const struct store_reader *reader)
 {
     return reader->duty != READER_INACTIVE && store_watch_is_healthy(&reader->watch);
 }
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -135,7 +135,7 @@
               check->run_count, (cluster_now() - check->interrupted_at) / 1000);
     add_evidence(check);
     end_check(check);
-    crash_sync_tell(edge->cluster.crashes);
+    crash_sync_send_updates(edge->cluster.crashes);
     edge_client_fail_blocked(edge);
     exchange_dispatch_queued(edge);
 }
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -115,7 +115,7 @@
 
 static void count_gateways(struct edge *edge)
 {
-    edge->gateways = cluster_gateways(&edge->cluster);
+    edge->gateways = cluster_gateway_count(&edge->cluster);
     uint32_t known = 1;
     for (uint32_t i = 0; i < membership_count(edge->cluster.membership); i++)
         known += membership_at(edge->cluster.membership, i)->role == MEMBER_GATEWAY;
@@ -169,7 +169,7 @@
     weight_relay_tick(edge->relay, now);
     crash_watch_tick(edge, now);
     edge_client_fail_blocked(edge);
-    backend_pool_expire(edge->pool, cluster_store_is_sound(&edge->cluster), now);
+    backend_pool_expire(edge->pool, cluster_store_is_healthy(&edge->cluster), now);
     close_expired_connections(edge, now);
     exchange_dispatch_queued(edge);
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, edge->active);
@@ -187,7 +187,7 @@
     if (edge->stopping_since)
         return;
     edge->stopping_since = cluster_now();
-    cluster_tell_draining(&edge->cluster);
+    cluster_announce_draining(&edge->cluster);
 }
 
 /* --- Startup --- */
@@ -243,7 +243,7 @@
                                           .load_received = on_load,
                                           .call_received = on_call,
                                           .suspects_changed = on_suspects_changed,
-                                          .woke = on_resumed_after_pause};
+                                          .resumed_after_pause = on_resumed_after_pause};
     struct backend_pool_settings pool = {.queue_per_engine = (uint32_t)settings->engine_queue,
                                          .tokens_per_engine =
                                              (uint32_t)settings->engine_unread_tokens,
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -98,7 +98,7 @@
 static uint64_t item_changed_at(const struct edge *edge, const struct state_item *item)
 {
     bool at_start = cluster_now() < edge->started_at + STARTUP_STATE_US;
-    return at_start || !cluster_store_is_sound(&edge->cluster) ? 0 : item->learned;
+    return at_start || !cluster_store_is_healthy(&edge->cluster) ? 0 : item->learned;
 }
 
 static void apply_backend(struct edge *edge, const char *id, const struct state_item *item)
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -123,7 +123,7 @@
     struct crash_lease lease = crash_table_acquire_lease(crash_table_of(exchange),
                                                          exchange_identity(exchange), start, now);
     log_lease(exchange, backend, &lease, now);
-    crash_sync_tell(exchange->edge->cluster.crashes);
+    crash_sync_send_updates(exchange->edge->cluster.crashes);
     return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_PROPAGATION_US;
 }
 
--- a/src/edge/exchange_suspicion.c
+++ b/src/edge/exchange_suspicion.c
@@ -125,7 +125,7 @@
         return;
     request_identity_to_hex(exchange_identity(exchange), hex);
     log_event(LOG_LEVEL_INFO, "crash", "cleared", "request=%s identity=%s", exchange->head.id, hex);
-    crash_sync_tell(exchange->edge->cluster.crashes);
+    crash_sync_send_updates(exchange->edge->cluster.crashes);
 }
 
 void exchange_fail_if_blocked(struct exchange *exchange)
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -377,7 +377,7 @@
 static void on_stop(struct process *process)
 {
     struct loader *loader = process->context;
-    cluster_tell_draining(&loader->cluster);
+    cluster_announce_draining(&loader->cluster);
     uv_stop(loader->cluster.loop);
 }
 
@@ -386,8 +386,8 @@
     struct cluster_callbacks callbacks = {.context = loader,
                                           .item_changed = on_item,
                                           .call_received = on_call,
-                                          .predecessor_heard = on_predecessor,
-                                          .woke = on_woke};
+                                          .predecessor_reported = on_predecessor,
+                                          .resumed_after_pause = on_woke};
     uv_loop_t *loop = uv_default_loop();
     if (!tcp_address_parse(settings->engine_address, &loader->engine_address)) {
         log_event(LOG_LEVEL_ERROR, "loader", "bad-address", "engine=%s", settings->engine_address);
