--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -16,19 +16,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** For so long a node says that it has started, and others tell it what they know of its earlier
- * process: longer than calls of that one can act. */
+/** Time after a start for which a node reports its uptime, and other nodes report what they know of
+ * its earlier process. Calls of the earlier process cannot take effect for that long. */
 #define PROCESS_START_ANNOUNCE_US ((uint64_t)15000000)
 #define TICK_INTERVAL_MS 100
-/** Time between ticks while this node does not know the state, or most of the members. */
+/** Tick interval until this node knows the state and most of the members. */
 #define STARTUP_TICK_INTERVAL_MS 25
 #define MAX_DATAGRAM_BYTES 8192
-/** Time between looks at what is to be logged or dropped. */
+/** Interval for logging member changes and dropping expired entries. */
 #define MAINTENANCE_INTERVAL_US 500000
 #define MAX_CALL_BODY_BYTES 65536
 #define TOMBSTONE_RETENTION_US 60000000
-/** Loaders tell the gateways that hear of them each 0.4 s at least, nodes probe each other as
- * often: in this time some message comes through, also where one in ten is lost. */
+/** A node that receives nothing for this time is isolated. Loaders report their load to the
+ * selected gateways at least every 0.4 s, and nodes probe each other as often, so within this time
+ * some message arrives even if one in ten is lost. */
 #define ISOLATION_TIMEOUT_US 1200000
 
 uint64_t cluster_now(void)
@@ -49,12 +50,12 @@
     struct sockaddr_in to = cluster_address(cluster, address);
     uv_buf_t buffer = uv_buf_init((char *)bytes, (unsigned)size);
     int sent = uv_udp_try_send(&cluster->socket, &buffer, 1, (const struct sockaddr *)&to);
-    if (sent < 0) /* as good as lost on its way, which is expected */
+    if (sent < 0) /* not retried: the protocol tolerates lost datagrams */
         log_event(LOG_LEVEL_WARN, "cluster", "not-sent", "peer=%08x error=\"%s\"", address,
                   uv_strerror(sent));
 }
 
-/* \return size of the message, 0 when it is too large */
+/* \return size of the packed message, bytes; 0: it exceeds MAX_DATAGRAM_BYTES */
 static size_t pack_message(const Shuntrun__MemberMessage *message,
                            uint8_t bytes[MAX_DATAGRAM_BYTES])
 {
@@ -67,13 +68,14 @@
     return shuntrun__member_message__pack(message, bytes);
 }
 
-/* Whether a node is in another region, as far as it is known. */
+/* \return whether a node is known to be in another region */
 static bool is_in_other_region(const struct cluster *cluster, uint32_t address)
 {
     const struct member_state *member = membership_find(cluster->membership, address);
     return member && strcmp(member->region, membership_self(cluster->membership)->region) != 0;
 }
 
+/* \return the uptime while a node reports it, ms, at least 1; afterwards 0 */
 static uint64_t uptime_ms(const struct cluster *cluster, uint64_t now)
 {
     return now < cluster->opened_at + PROCESS_START_ANNOUNCE_US
@@ -81,7 +83,7 @@
                : 0;
 }
 
-/* What this node knows of an earlier process of the recipient. */
+/* Add what this node knows of an earlier process of the recipient. */
 static void add_earlier_process(const struct cluster *cluster, uint32_t address, uint64_t now,
                                 Shuntrun__MemberMessage *message)
 {
@@ -132,15 +134,15 @@
 
 bool cluster_store_is_healthy(const struct cluster *cluster)
 {
-    /* A node that the store turns away gets the list from others: their word counts, not its own
-     * failures. */
+    /* A node that the store refuses receives the state from other nodes: the health that these
+     * report counts, not the failures of the own calls. */
     return reader_role_any_reader_is_healthy(cluster->membership);
 }
 
 static void update_self(struct cluster *cluster)
 {
     struct member_state *self = membership_self(cluster->membership);
-    /* Nobody may take a part for the whole. */
+    /* Peers must not take a partial copy for the full state. */
     self->state_revision = cluster->holds_full_state ? state_cache_revision(cluster->state) : 0;
     self->operator_revision = cluster->operator_revision;
     self->store_sound = cluster->reader && store_reader_is_healthy(cluster->reader);
@@ -184,7 +186,8 @@
     reader_role_update(&cluster->role, cluster->membership, now);
     store_reader_set_duty(cluster->reader, cluster->role.duty);
     update_self(cluster);
-    /* The own state is written at each message too: it says nothing of what others were told. */
+    /* The own health is also updated before each message, so only the reader role knows which
+     * value the others were sent. */
     if (reader_role_must_announce(&cluster->role,
                                   membership_self(cluster->membership)->store_sound))
         announce_to_gateways(cluster);
@@ -201,7 +204,7 @@
     cluster->last_alive_count = alive;
 }
 
-/* Note when the start was over: a node that starts slowly is explained by what came late. */
+/* Record the times at which the state and the members became known, to explain a slow start. */
 static void check_startup(struct cluster *cluster, uint64_t now)
 {
     bool has_state = cluster->operator_revision != 0;
@@ -221,8 +224,8 @@
               membership_count(cluster->membership) + 1, (unsigned long long)took_ms);
 }
 
-/* Once in each turn of the loop, before it waits for events: a pause is noticed in the turn in
- * which the process runs again. */
+/* Runs in each loop iteration before it waits for events, so that a pause is detected in the
+ * iteration in which the process runs again. */
 static void on_clock_check(uv_prepare_t *prepare)
 {
     struct cluster *cluster = prepare->data;
@@ -265,7 +268,7 @@
     membership_receive(cluster->membership, sender, message, now);
     if (message->changes)
         state_sync_apply(cluster->sync, message->changes);
-    /* A node that holds only the operator's part needs nothing else. */
+    /* A node that copies only the operator's items needs no other changes. */
     bool sender_is_newer =
         cluster->holds_full_state
             ? message->sender->state_revision > state_cache_revision(cluster->state)
@@ -294,7 +297,9 @@
     return isolated_now || cluster->isolated_until > since;
 }
 
-/* Whoever knows of an earlier process of a node that starts says so at once. */
+/* Records start times of the sender's process and engine, and reports what the sender knows of an
+ * earlier process of this node. A new process of the sender is sent an update at once, with what is
+ * known of its earlier process. */
 static void record_start_times(struct cluster *cluster, const Shuntrun__MemberMessage *message,
                                uint32_t sender, uint64_t now)
 {
@@ -314,7 +319,7 @@
                         const struct sockaddr *from, unsigned flags)
 {
     struct cluster *cluster = socket->data;
-    if (size <= 0 || !from) /* nothing more to read, or a refusal of something sent before */
+    if (size <= 0 || !from) /* no more data, or an ICMP error for an earlier datagram */
         return;
     Shuntrun__MemberMessage *message =
         shuntrun__member_message__unpack(NULL, (size_t)size, (const uint8_t *)buffer->base);
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,8 +1,9 @@
 /**
- * What every node on the users' platform shares: membership by datagrams, a copy of what the
- * platform publishes, read from its store or from peers, and a small HTTP service between nodes.
+ * The cluster layer of a node on the users' platform: membership over UDP datagrams, a local copy
+ * of the state that the platform publishes, read from its store or from peers, and an HTTP service
+ * for calls between nodes.
  *
- * One loop, one thread.
+ * Runs on one event loop and thread. Times are microseconds of cluster_now().
  */
 #ifndef SHUNTRUN_CLUSTER_H
 #define SHUNTRUN_CLUSTER_H
@@ -24,18 +25,21 @@
 
 struct cluster_callbacks {
     void *context;
-    /** An item of what the platform publishes is new, changed or gone. */
+    /** An item of the platform state was added, changed or removed. */
     void (*item_changed)(void *context, const struct state_item *item);
-    /** A loader told the load of its engine; may be NULL. */
+    /** A load report of a loader's engine was received; may be NULL. */
     void (*load_received)(void *context, const Shuntrun__EngineLoad *load);
-    /** A call of another node that is not the cluster's own; may be NULL. */
+    /** A call from another node was received that the cluster does not handle; may be NULL. */
     service_handler *call_received;
-    /** Another node told of requests that crash back ends; may be NULL. */
+    /** Another node sent new evidence of requests that crash backends; may be NULL. */
     void (*suspects_changed)(void *context);
-    /** Another node heard an earlier process of this one, and which start of its engine that
-     *  reported last, 0: none; may be NULL. */
+    /**
+     * Another node reported an earlier process of this node; may be NULL.
+     * \param heard_at time of the last message from that process
+     * \param engine_born start of its engine that it reported last, 0: none
+     */
     void (*predecessor_reported)(void *context, uint64_t heard_at, uint64_t engine_born);
-    /** The process did not run for a while. */
+    /** The process runs again after a pause. */
     void (*resumed_after_pause)(void *context, const struct wake *wake);
 };
 
@@ -46,60 +50,61 @@
     struct membership *membership;
     struct state_cache *state;
     struct http_service *service;
-    bool holds_full_state; /**< all that the platform publishes, not only the operator's part */
+    bool holds_full_state; /**< copies the whole platform state, not only the operator's items */
     struct store_reader *reader; /**< NULL on nodes that never read the store */
     struct reader_role role;
     struct state_sync *sync;
-    struct crash_sync *crashes; /**< requests that crash back ends */
+    struct crash_sync *crashes; /**< evidence of requests that crash backends */
     uv_udp_t socket;
     uv_timer_t timer;
-    uint16_t port; /**< of datagrams and calls, the same on all nodes */
+    uint16_t port; /**< for datagrams and calls, the same on all nodes */
     uint64_t next_maintenance_at;
-    uint64_t operator_revision; /**< of the newest change by the operator that is known here */
-    uint64_t pushed_operator_revision; /**< up to which others were told of such changes */
-    uint64_t pushed_revision;          /**< up to which others were told of all changes */
+    uint64_t operator_revision;        /**< newest change by the operator that is known here */
+    uint64_t pushed_operator_revision; /**< operator changes up to here were pushed to others */
+    uint64_t pushed_revision;          /**< all changes up to here were pushed to others */
     struct wake_watch wake_watch;
     uv_prepare_t clock_check;
     uint64_t opened_at;
-    bool has_operator_state; /**< the operator's part of the state came, for the first time */
-    bool started;            /**< the state and most members are known, or were once */
-    uint64_t heard_at;       /**< time of the last message of another node, 0: none yet */
-    uint64_t isolated_until; /**< end of the last time in which no other node was heard, 0: none */
+    bool has_operator_state; /**< the operator's items have been received once */
+    bool started;            /**< the state and most members have been known once */
+    uint64_t heard_at;       /**< time of the last message from another node, 0: none yet */
+    uint64_t isolated_until; /**< end of the last isolation, see cluster_was_isolated(); 0: none */
     struct random_stream random;
     struct load_targets load_targets;
-    uint32_t last_alive_count; /**< members alive at the last look */
+    uint32_t last_alive_count; /**< live members when they were last logged */
 };
 
-/** \return 0, or 1 after the error was logged */
+/** \brief Open the sockets and start the timers. \return 0, or 1 after logging the error */
 int cluster_open(struct cluster *cluster, uv_loop_t *loop, const struct settings *settings,
                  enum member_role role, const struct cluster_callbacks *callbacks);
+/** \return time of the monotonic clock, microseconds */
 uint64_t cluster_now(void);
-/** \brief Tell the gateways at once that this node takes no new work. */
+/** \brief Announce to the gateways at once that this node is draining: it takes no new work. */
 void cluster_announce_draining(struct cluster *cluster);
 /** \brief Send one message to one member. */
 void cluster_send(struct cluster *cluster, uint32_t address,
                   const Shuntrun__MemberMessage *message);
 /**
- * \brief Send the load of the engine to the gateways that are to hear of it.
- * \param far also to those in other regions
+ * \brief Send a load report of the engine to the gateways selected by core/load_targets.
+ * \param far send it also to those in other regions
  */
 void cluster_send_load(struct cluster *cluster, Shuntrun__EngineLoad *load, bool far);
-/** \brief Tell others of what this node has learned lately. */
+/** \brief Push state changes that this node has learned since the last call to other nodes. */
 void cluster_propagate_changes(struct cluster *cluster);
-/** \return whether this node reads the platform's store now */
+/** \return whether this node reads the platform's store at present */
 bool cluster_reads_store(const struct cluster *cluster);
-/** \return whether this node, or one that tells it, gets answers of the store */
+/** \return whether any reader of the platform's store, this node or another, gets answers */
 bool cluster_store_is_healthy(const struct cluster *cluster);
 /**
- * \return whether this node heard from no other for a while after `since`: what it learns late then
- * is its own fault, not the store's
+ * \return whether after `since` this node received no message from any other for a while. What it
+ * learned late then was delayed by its own isolation, not by the store.
  */
 bool cluster_was_isolated(const struct cluster *cluster, uint64_t since);
-/** \brief Address of a node's service for other nodes. */
+/** \return socket address of a node's datagrams and HTTP service for other nodes */
 struct sockaddr_in cluster_address(const struct cluster *cluster, uint32_t address);
-/** \return gateways that are alive, at least 1 */
+/** \return number of live gateways, at least 1 */
 uint32_t cluster_gateway_count(const struct cluster *cluster);
-/** \return 0 same zone, 1 same region, 2 other region */
+/** \return distance of a zone: 0 the own zone, 1 the own region, 2 another region */
 uint16_t cluster_distance(const struct cluster *cluster, const char *zone);
 
 #endif
--- a/src/cluster/crash_page.h
+++ b/src/cluster/crash_page.h
@@ -1,12 +1,12 @@
 /**
- * What an operator reads and says of requests that crash back ends, at the metrics address of a
- * gateway or loader:
+ * Admin endpoints for requests that crash backends, at the metrics address of a gateway or loader:
  *
- *   GET /suspects                      those that this node holds, as JSON
- *   POST /suspects/lift?identity=HEX   this one may run again, at all gateways
+ *   GET /suspects                      lists the crash entries of this node, as JSON
+ *   POST /suspects/lift?identity=HEX   clears a request, so that all gateways run it again
  *
- * A lift is kept and told like a good end of the request: it takes back all that ended before, so
- * evidence that comes later from a node that was cut off does not undo it; a new end counts.
+ * A lift is recorded and propagated like a successful run of the request: it clears all earlier
+ * crashes. Evidence of these that arrives later, from a node that was partitioned, does not undo
+ * it; a new crash counts.
  */
 #ifndef SHUNTRUN_CRASH_PAGE_H
 #define SHUNTRUN_CRASH_PAGE_H
@@ -14,7 +14,11 @@
 #include "cluster/crash_sync.h"
 #include "net/http_service.h"
 
-/** \param context a struct crash_sync \return whether the call was one of these, and is answered */
+/**
+ * \brief Handle a call to one of these endpoints.
+ * \param context a struct crash_sync
+ * \return whether the call was for one of them, and is answered
+ */
 bool crash_page_handle(void *context, struct service_call *call,
                        const struct service_request *request);
 
--- a/src/cluster/crash_sync.c
+++ b/src/cluster/crash_sync.c
@@ -9,15 +9,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Requests in one message: some 2.5 kB. */
+/** Requests per message, about 2.5 kB. */
 #define MAX_SUSPECTS_PER_MESSAGE 24
-/** Time between two answers to digests that differ: 24 requests, 4 times a second, are at most
- *  10 kB/s. While the same digests go on to differ, each wait is twice the last one. */
+/** Minimum time between two replies to differing digests: 24 requests, 4 times a second, take at
+ *  most 10 kB/s. It doubles with each reply to the same difference, up to the maximum. */
 #define REPAIR_INTERVAL_US ((uint64_t)250000)
 #define MAX_REPAIR_INTERVAL_US ((uint64_t)8000000)
-/** Ends that are younger are told in such an answer, also those of requests with one end. */
+/** Such a reply also contains entries whose last crash is younger than this, even those with a
+ *  single crash. */
 #define RECENT_CRASH_US ((uint64_t)10000000)
-/** Messages carry the same digest for so long: an end counts in it after 0.5 s only. */
+/** Time for which a computed digest is reused. Crashes enter it only after 0.5 s
+ *  (CRASH_DIGEST_DELAY_US), so it is not needed sooner. */
 #define DIGEST_CACHE_US ((uint64_t)100000)
 
 struct crash_sync {
@@ -25,13 +27,13 @@
     struct crash_table *table;
     uint64_t next_repair_at;
     uint64_t repair_interval;
-    uint64_t last_difference; /* the difference of digests that was answered last */
-    uint32_t repair_position; /* in the table: the next answer goes on from there */
-    uint64_t digest;          /* of the table at `digest_at` */
+    uint64_t last_difference; /* XOR of the digests at the last reply */
+    uint32_t repair_position; /* table index of the last entry considered for a reply */
+    uint64_t digest;          /* of the table, computed at `digest_at` */
     uint64_t digest_at;
 };
 
-/** Entries in the form of a message. */
+/** A message with crash entries, and the memory that it points into. */
 struct suspects_message {
     Shuntrun__MemberMessage message;
     Shuntrun__CrashSuspect suspects[MAX_SUSPECTS_PER_MESSAGE];
@@ -69,8 +71,7 @@
     metric_gauge_set(METRIC_SUSPECTS, crash_table_count(sync->table));
 }
 
-/* --- out -----------------------------------------------------------------------------------------
- */
+/* --- sending --- */
 
 static uint64_t age_ms(uint64_t time, uint64_t now)
 {
@@ -112,7 +113,7 @@
     out->suspect_pointers[index] = suspect;
 }
 
-/* Messages under way, one for each node that is told something. */
+/* Messages being filled, one per receiver. */
 struct outbox {
     struct outgoing {
         uint32_t address;
@@ -171,14 +172,14 @@
     free(outbox.items);
 }
 
-/* Whoever stood still, or was held for dead, was not told of it. */
+/* Recent crashes are repeated: a node that was paused, or was declared dead, has missed them. */
 static bool has_recent_crash(const struct crash_entry *entry, uint64_t now)
 {
     return entry->crash_count &&
            now < entry->crashes[entry->crash_count - 1].ended_at + RECENT_CRASH_US;
 }
 
-/* What one message has no room for goes into the next one. */
+/* Sends one message of entries; the next one continues behind the last entry of this one. */
 static void send_shared(struct crash_sync *sync, uint32_t address, uint64_t now)
 {
     struct suspects_message out;
@@ -194,8 +195,8 @@
         cluster_send(sync->cluster, address, &out.message);
 }
 
-/* Another gateway holds something else. Loaders keep only what they are homes of: they answer a
- * gateway that knows nothing at all, as after the loss of all of them. */
+/* Replies to a gateway whose digest differs. A loader holds only the entries that it is a replica
+ * of, so it replies only to a gateway without any entries, as after the loss of all gateways. */
 static void repair(struct crash_sync *sync, const Shuntrun__MemberNews *sender, uint64_t digest,
                    uint64_t now)
 {
@@ -212,8 +213,7 @@
     send_shared(sync, sender->address, now);
 }
 
-/* --- in ------------------------------------------------------------------------------------------
- */
+/* --- receiving --- */
 
 static uint64_t time_of_age(uint64_t age, uint64_t now)
 {
@@ -232,7 +232,7 @@
     };
 }
 
-/* \return whether it could be decoded */
+/* \return whether the entry could be decoded */
 static bool read_suspect(const Shuntrun__CrashSuspect *suspect, uint64_t now,
                          struct crash_entry *entry)
 {
@@ -262,7 +262,7 @@
               identity, entry->crash_count, sender, blocked ? "blocked" : "suspect");
 }
 
-/* \return whether anything of it is new */
+/* \return whether any of the entries contained new evidence */
 static bool merge_suspects(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
                            uint32_t sender, uint64_t now)
 {
--- a/src/cluster/crash_sync.h
+++ b/src/cluster/crash_sync.h
@@ -1,9 +1,11 @@
 /**
- * Shares among all nodes what is known of requests that crash back ends (core/crash_table).
+ * Replicates the crash entries of requests that crash backends (core/crash_table) between nodes.
  *
- * New evidence goes at once to whom core/crash_spread names. Messages of membership carry a digest
- * of what all gateways keep; a gateway that holds something else sends it, so that one that starts,
- * or was cut off, learns it with its first messages. Loaders keep a part: it outlives all gateways.
+ * New evidence is sent at once to the nodes that core/crash_spread selects. Membership messages
+ * carry a digest of the shared entries, which all gateways hold. A gateway whose digest differs
+ * replies with its entries (anti-entropy), so a gateway that has just started, or was partitioned,
+ * receives them with its first messages. Loaders hold some of the entries, which so outlive the
+ * loss of all gateways.
  */
 #ifndef SHUNTRUN_CRASH_SYNC_H
 #define SHUNTRUN_CRASH_SYNC_H
@@ -13,16 +15,18 @@
 
 struct crash_sync;
 
+/** \return a replicator with an empty table, which lives as long as the process */
 struct crash_sync *crash_sync_create(struct cluster *cluster);
+/** \return the table of this node */
 struct crash_table *crash_sync_table(const struct crash_sync *sync);
-/** \brief Tell other nodes what they were not told yet. */
+/** \brief Send entries that changed since they were last sent; call it after changes. */
 void crash_sync_send_updates(struct crash_sync *sync);
-/** \brief Take what a message holds of it. */
+/** \brief Merge the entries in a message, and reply if its digest differs. */
 void crash_sync_receive(struct crash_sync *sync, const Shuntrun__MemberMessage *message,
                         uint32_t sender, uint64_t now);
-/** \brief Forget what is too old. */
+/** \brief Remove expired entries. */
 void crash_sync_trim(struct crash_sync *sync, uint64_t now);
-/** \return a digest of what all gateways keep, up to 0.1 s old; 0: of nothing */
+/** \return digest of the shared entries, computed up to 0.1 s ago; 0: there are none */
 uint64_t crash_sync_digest(struct crash_sync *sync);
 
 #endif
--- a/src/cluster/message_count.c
+++ b/src/cluster/message_count.c
@@ -2,7 +2,7 @@
 
 #include "base/metrics.h"
 
-/* The counters of one kind of message: near ones, then far ones. */
+/* Counters of one kind of message: index 0 within the region, 1 to other regions. */
 struct kind_counters {
     enum metric_counter messages[2];
     enum metric_counter bytes[2];
--- a/src/cluster/message_count.h
+++ b/src/cluster/message_count.h
@@ -1,6 +1,6 @@
 /**
- * Counts the datagrams between nodes by what they carry, and whether they leave the region: in a
- * large fleet bytes between regions are the first thing to look at.
+ * Counts the datagrams between nodes by the kind of their content and by whether they leave the
+ * region: in a large fleet the bytes sent between regions are the first figure to check.
  */
 #ifndef SHUNTRUN_MESSAGE_COUNT_H
 #define SHUNTRUN_MESSAGE_COUNT_H
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** \brief Count a message that is sent. \param size bytes \param far to another region */
+/** \brief Count a sent message. \param size bytes \param far whether to another region */
 void message_count_sent(const Shuntrun__MemberMessage *message, size_t size, bool far);
 
 #endif
--- a/src/cluster/news_push.c
+++ b/src/cluster/news_push.c
@@ -6,16 +6,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Larger changes do not travel in a message. */
+/** Larger changes are not put into a message; sizes are packed bytes and items. */
 #define MAX_PUSH_BYTES 4000
 #define MAX_PUSH_ITEMS 24
 
-/** Changes in the form of a message; points into the state. */
+/** Changes as part of a message; they point into the state cache. */
 struct pushed_changes {
     Shuntrun__StateChanges changes;
     Shuntrun__StateItem items[MAX_PUSH_ITEMS];
     Shuntrun__StateItem *pointers[MAX_PUSH_ITEMS];
-    bool fits;
+    bool fits; /* a delta is available, and within the limits */
 };
 
 static void add_item(struct pushed_changes *pushed, const struct state_item *item, uint64_t now)
@@ -55,7 +55,7 @@
     membership_send_changes(cluster->membership, address, pushed->fits ? &pushed->changes : NULL);
 }
 
-/* Gateways of the own region that do not read the store. */
+/* Sends to the gateways of the own region that do not read the store and lack the revision. */
 static void send_to_region(struct cluster *cluster, uint64_t revision,
                            struct pushed_changes *pushed)
 {
--- a/src/cluster/news_push.h
+++ b/src/cluster/news_push.h
@@ -1,16 +1,16 @@
 /**
- * Tells other nodes at once of changes of what the platform publishes: small changes travel in the
- * message itself, others are fetched by whoever lacks them.
+ * Pushes changes of the platform state to other nodes at once. Small changes are contained in the
+ * message; for larger ones it announces the revision, and receivers fetch them (state_sync).
  *
- * A gateway that reads the store tells the gateways of its region that do not; and every gateway
- * passes changes by the operator on (core/news_targets).
+ * A gateway that reads the store updates the gateways of its region that do not. Changes by the
+ * operator are forwarded by every gateway to the nodes that core/news_targets selects.
  */
 #ifndef SHUNTRUN_NEWS_PUSH_H
 #define SHUNTRUN_NEWS_PUSH_H
 
 #include "cluster/cluster.h"
 
-/** \brief Tell of what this node learned since the last call. */
+/** \brief Push what this node has learned since the last call. */
 void news_push(struct cluster *cluster);
 
 #endif
--- a/src/cluster/process.c
+++ b/src/cluster/process.c
@@ -27,7 +27,7 @@
     return 0;
 }
 
-/* The place of a crash is the one thing that a restart would lose. */
+/* Prints the stack: it is the only information about a crash that a restart would lose. */
 static void on_fatal_signal(int number)
 {
     static const char text[] = "event=crashed, stack:\n";
--- a/src/cluster/process.h
+++ b/src/cluster/process.h
@@ -1,5 +1,6 @@
 /**
- * What the programs on the users' platform share as processes: settings, signals, the metrics page.
+ * Process setup shared by the daemons on the users' platform: settings, log, signals and the HTTP
+ * service with the metrics.
  */
 #ifndef SHUNTRUN_PROCESS_H
 #define SHUNTRUN_PROCESS_H
@@ -12,7 +13,8 @@
 struct service_call;
 struct service_request;
 
-/** More pages at the metrics address. \return whether the call was for one, and is answered */
+/** Handles further paths at the metrics address. \return whether the call was for one, and is
+ * answered */
 typedef bool process_page_handler(void *context, struct service_call *call,
                                   const struct service_request *request);
 
@@ -24,17 +26,25 @@
     const struct settings *settings;
     void (*stop)(struct process *process);
     void *context;
-    process_page_handler *page; /**< or NULL; set before process_run() */
+    process_page_handler *page; /**< NULL: none; set before process_run() */
     void *page_context;
 };
 
-/** \brief Read the settings and set the log up. \return 0, or 2 after the findings were printed */
+/**
+ * \brief Read the settings and set up the log.
+ * \return 0, or exit status 2 if the settings are invalid, after printing the findings
+ */
 int process_open(struct process *process, enum setting_role role, int argc, char **argv,
                  struct settings *settings);
-/** \brief Run the loop; `stop` is called on SIGTERM and SIGINT. \return exit status */
+/**
+ * \brief Run the loop until it ends.
+ * \param stop called on SIGTERM and SIGINT
+ * \param context stored in the process, for `stop`
+ * \return exit status
+ */
 int process_run(struct process *process, uv_loop_t *loop, void (*stop)(struct process *process),
                 void *context);
-/** \brief Log the problems of a configuration that was refused. */
+/** \brief Log the problems of a rejected configuration, the first ones only. */
 void process_log_findings(const struct findings *findings, uint64_t revision);
 
 #endif
--- a/src/cluster/state_message.h
+++ b/src/cluster/state_message.h
@@ -1,5 +1,5 @@
 /**
- * Items of the state as they travel between nodes.
+ * Encoding of platform state items in messages between nodes.
  */
 #ifndef SHUNTRUN_STATE_MESSAGE_H
 #define SHUNTRUN_STATE_MESSAGE_H
@@ -7,10 +7,13 @@
 #include "core/state_cache.h"
 #include "generated/messages.pb-c.h"
 
-/** \brief Write an item, with its age. `out` points into the item. */
+/**
+ * \brief Encode an item with its age at `now`, microseconds.
+ * \param out points into the item afterwards
+ */
 void state_message_write_item(const struct state_item *item, uint64_t now,
                               Shuntrun__StateItem *out);
-/** \return whether the operator wrote the item, not a back end */
+/** \return whether the item was written by the operator, not by a backend */
 bool state_message_is_operator_item(const struct state_item *item);
 
 #endif
--- a/src/cluster/state_sync.c
+++ b/src/cluster/state_sync.c
@@ -12,16 +12,19 @@
 
 #define STATE_PATH "/state"
 #define REQUEST_TIMEOUT_MS 1200
+/** Largest state that a peer may send, compressed or not. */
 #define MAX_RESPONSE_BYTES (32U << 20)
+/** zstd level. */
 #define COMPRESSION_LEVEL 1
-/** A node that reads the store itself gets the change in this time; only then are peers asked. */
+/** Delay before a request to a peer that need not be made at once: a node that reads the store
+ *  itself receives the change within this time. */
 #define STORE_READER_GRACE_US 250000
 
 struct state_sync {
     struct cluster *cluster;
-    uint32_t peer; /* the one that is ahead, 0: none */
+    uint32_t peer; /* a peer with a newer revision, 0: none */
     uint64_t peer_revision;
-    uint64_t behind_since; /* first time that somebody was ahead of this node */
+    uint64_t behind_since; /* time since which a peer is known to be ahead; 0: none is */
     struct http_caller *caller;
     bool request_pending;
 };
@@ -56,14 +59,15 @@
     if (changes->whole)
         state_cache_snapshot_begin(state, "");
     apply_items(sync, changes);
-    /* This node was so far behind that nobody knows when what is missing went: long ago. */
+    /* This node was too far behind for a delta, and a snapshot has no removal times: items missing
+     * from it count as removed long ago. */
     struct state_removal removal = {.learned = 1};
     if (changes->whole)
         state_cache_snapshot_end(state, "", changes->revision, &removal);
     state_cache_advance(state, changes->revision);
 }
 
-/* Configurations are texts that compress to a tenth. */
+/* Compression pays: configurations are texts that compress to a tenth. */
 static Shuntrun__StateChanges *unpack_changes(const char *bytes, size_t size)
 {
     unsigned long long length = ZSTD_getFrameContentSize(bytes, size);
@@ -144,7 +148,8 @@
     return true;
 }
 
-/* Who reads the store itself gets the change by itself, others are told by somebody near. */
+/* A reader of the store receives the change from there. Other nodes normally get it from a peer in
+ * the own region, so they request it at once only from such a peer. */
 static bool requests_immediately(const struct state_sync *sync, bool near)
 {
     return near && !cluster_reads_store(sync->cluster);
@@ -187,7 +192,7 @@
     free(compressed);
 }
 
-/* The operator's items change and never go; of back ends, removals must be told too. */
+/* The operator's items are never removed. A delta of backends must contain their removals, too. */
 static bool can_send_delta(const struct state_cache *state, uint64_t after, bool operator_only)
 {
     if (!after)
--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -11,17 +11,19 @@
 #include <stdlib.h>
 #include <string.h>
 
+/** Longest body of a response of the store. */
 #define MAX_RESPONSE_BYTES (32U << 20)
+/** Size of the longest key, bytes, with the terminating zero. */
 #define KEY_SIZE 256
 
 struct store_reader {
     struct cluster *cluster;
     struct sockaddr_in address;
     struct http_caller *caller;
-    uv_timer_t timer; /* until the next call */
+    uv_timer_t timer; /* delay before the next call */
     struct store_watch watch;
-    uint64_t snapshot_revision;   /* of the whole that is being read */
-    char last_page_key[KEY_SIZE]; /* the last key of the page before */
+    uint64_t snapshot_revision;   /* of the snapshot that is being read */
+    char last_page_key[KEY_SIZE]; /* last key of the previous page; empty: none */
     enum reader_duty duty;
 };
 
@@ -62,7 +64,7 @@
     }
 }
 
-/* \return the revision of the whole once all of its pages are in, else 0 */
+/* \return the revision of the snapshot after its last page; 0: more pages follow */
 static uint64_t apply_page(struct store_reader *reader, const struct store_answer *answer)
 {
     struct state_cache *state = reader->cluster->state;
@@ -201,7 +203,7 @@
     reader->last_page_key[0] = 0;
 }
 
-/* Peers told what happened meanwhile: the watch goes on from there. */
+/* Continues from the revision that peers have sent in the meantime. */
 static void resume_reading(struct store_reader *reader)
 {
     store_watch_init(&reader->watch, state_cache_revision(reader->cluster->state), cluster_now());
@@ -220,7 +222,7 @@
     }
 }
 
-/* The leader failed while this node gathered at its slow pace. */
+/* Ends the long batch delay of a standby that becomes the leader, as the leader failed. */
 static void skip_batch_delay(struct store_reader *reader)
 {
     if (uv_is_active((uv_handle_t *)&reader->timer) && !reader->watch.failures)
--- a/src/cluster/store_reader.h
+++ b/src/cluster/store_reader.h
@@ -1,17 +1,20 @@
 /**
- * Reads what the platform publishes: once whole, then by a watch that waits for changes.
+ * Reads the state that the platform publishes from its store: a full snapshot once, then a watch
+ * that waits for changes.
  */
 #ifndef SHUNTRUN_STORE_READER_H
 #define SHUNTRUN_STORE_READER_H
 
 #include "cluster/cluster.h"
 
+/** \return an inactive reader, or NULL after logging that the address is invalid */
 struct store_reader *store_reader_create(struct cluster *cluster);
-/** \brief Begin to read, or stop, or change the pace; what is known already is not read again. */
+/** \brief Start or stop reading, or change the batch delay. Changes that are known are not read
+ * again. */
 void store_reader_set_duty(struct store_reader *reader, enum reader_duty duty);
-/** \brief Ask anew on fresh connections, after the process stood still. */
+/** \brief After a pause of the process, repeat the pending call on a new connection. */
 void store_reader_reconnect(struct store_reader *reader);
-/** \return whether the last call to the store had its answer, or waits for it without a failure */
+/** \return whether it reads, the store has answered, and no call failed since the last answer */
 bool store_reader_is_healthy(const struct store_reader *reader);
 
 #endif
