--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_ROLLOUTS NODE_MAX_READY
+#define MAX_ROLLOUTS NODE_MAX_READY_MODELS
 #define ENGINE_POLL_US (300 * MICROSECONDS_PER_MILLISECOND)
 #define ENGINE_TIMEOUT_MS 2000
 #define LOAD_TIMEOUT_MS 600000
@@ -39,7 +39,7 @@
     struct http_server *http;
     struct rollout *rollouts[MAX_ROLLOUTS];
     uint32_t rollout_count;
-    struct ready_model ready[NODE_MAX_READY]; /* as the engine last confirmed */
+    struct ready_model ready[NODE_MAX_READY_MODELS]; /* as the engine last confirmed */
     uint32_t ready_count;
     bool engine_asked;
     uint64_t next_engine_poll;
@@ -171,14 +171,14 @@
 static void on_engine_status(void *context, struct http_response *response)
 {
     struct agent *agent = context;
-    struct ready_model models[NODE_MAX_READY] = {{{0}, {0}, {0}}};
+    struct ready_model models[NODE_MAX_READY_MODELS] = {{{0}, {0}, {0}}};
     uint32_t count = 0;
     json_t *root = NULL;
     agent->engine_asked = false;
     if (response->result == HTTP_COMPLETE && response->status == 200)
         root = json_loadb((const char *)response->body, response->size, 0, NULL);
     const json_t *list = json_object_get(root, "models");
-    for (size_t i = 0; i < json_array_size(list) && count < NODE_MAX_READY; i++) {
+    for (size_t i = 0; i < json_array_size(list) && count < NODE_MAX_READY_MODELS; i++) {
         const json_t *item = json_array_get(list, i);
         const char *model = json_string_value(json_object_get(item, "model"));
         const char *version = json_string_value(json_object_get(item, "version"));
--- a/src/agent/agent_traffic.c
+++ b/src/agent/agent_traffic.c
@@ -333,7 +333,7 @@
 struct change {
     struct agent_traffic *traffic;
     struct fleet_config config; /* services and tenants only; owned */
-    struct ready_model ready[NODE_MAX_READY];
+    struct ready_model ready[NODE_MAX_READY_MODELS];
     uint32_t ready_count;
     bool draining;
 };
--- a/src/core/executor.c
+++ b/src/core/executor.c
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUSY_RETRY_MS 200
-#define DRAIN_RETRY_MS 1000
+#define BUSY_RETRY_AFTER_MS 200
+#define DRAIN_RETRY_AFTER_MS 1000
 #define MAX_SERVICES 32
-#define KEPT_EPOCHS 2 /* a ticket of this many epochs back is void */
+#define VALID_TICKET_EPOCHS 2 /* a ticket of this many epochs back is void */
 
 struct run {
     uint64_t id;
@@ -23,9 +23,9 @@
     uint32_t tenant; /* index in the admission */
     char tenant_name[CONFIG_NAME_SIZE];
     uint64_t next_offset;
-    char *key;          /* owned; NULL without a key */
-    uint8_t *collected; /* tokens so far of a run under a key; owned */
-    size_t collected_size;
+    char *key;               /* owned; NULL without a key */
+    uint8_t *partial_answer; /* tokens so far of a run under a key; owned */
+    size_t partial_answer_size;
     bool plain; /* a plain service: one answer, no tokens */
     bool model_known;
     struct ready_model model;
@@ -44,7 +44,7 @@
     bool draining;
     struct service_config services[MAX_SERVICES]; /* `machines` owned */
     uint32_t service_count;
-    struct ready_model ready[NODE_MAX_READY];
+    struct ready_model ready[NODE_MAX_READY_MODELS];
     uint32_t ready_count;
     char service[CONFIG_NAME_SIZE];
     struct admission admission;
@@ -98,7 +98,7 @@
 
 void executor_set_ready(struct executor *executor, const struct ready_model *models, uint32_t count)
 {
-    assert(count <= NODE_MAX_READY);
+    assert(count <= NODE_MAX_READY_MODELS);
     memcpy(executor->ready, models, count * sizeof *models);
     executor->ready_count = count;
 }
@@ -129,7 +129,7 @@
 }
 
 /* A jump of the clock between events: the process was paused and its input may be old. */
-static void note_time(struct executor *executor, uint64_t now)
+static void detect_pause(struct executor *executor, uint64_t now)
 {
     if (now > executor->last_event && now - executor->last_event > executor->settings.pause_us)
         executor->pause_epoch++;
@@ -146,8 +146,9 @@
     executor->driver.answer(executor->driver.context, route, answer);
 }
 
-static void refuse(struct executor *executor, uint64_t route, const Shuntrun__Forward *forward,
-                   const char *reason, uint32_t retry_after_ms)
+static void reject_request(struct executor *executor, uint64_t route,
+                           const Shuntrun__Forward *forward, const char *reason,
+                           uint32_t retry_after_ms)
 {
     Shuntrun__Answer answer = SHUNTRUN__ANSWER__INIT;
     answer.kind = SHUNTRUN__ANSWER_KIND__ANSWER_REFUSED;
@@ -184,7 +185,7 @@
     if (run->tenant != ADMISSION_UNKNOWN_TENANT)
         admission_leave(&executor->admission, run->tenant);
     free(run->key);
-    free(run->collected);
+    free(run->partial_answer);
     *run = executor->runs[--executor->run_count];
 }
 
@@ -227,7 +228,8 @@
 }
 
 /* What makes the request unfit for this process. \return NULL when it is fit */
-static const char *misdirected(const struct executor *executor, const Shuntrun__Forward *forward)
+static const char *rejection_reason(const struct executor *executor,
+                                    const Shuntrun__Forward *forward)
 {
     if (forward->agent_incarnation != executor->incarnation)
         return "the request is for another incarnation of this agent";
@@ -245,7 +247,7 @@
     struct ticket ticket;
     if (ticket_parse(key, &ticket) != STATUS_OK) {
         /* Without a ticket only time helps: wait until no caller asks again. */
-        uint64_t window = KEPT_EPOCHS * executor->settings.key_window_us;
+        uint64_t window = VALID_TICKET_EPOCHS * executor->settings.key_window_us;
         return now - executor->started >= window
                    ? NULL
                    : "the agent restarted; a key without a ticket cannot be checked yet";
@@ -258,15 +260,15 @@
         uint64_t epoch = executor_ticket_epoch(executor, now);
         if (ticket.homes[i].incarnation != executor->incarnation)
             return "the agent restarted since the ticket was given";
-        if (ticket.homes[i].epoch + KEPT_EPOCHS <= epoch)
+        if (ticket.homes[i].epoch + VALID_TICKET_EPOCHS <= epoch)
             return "the ticket is too old";
         return NULL;
     }
     return "the ticket does not name this agent";
 }
 
-static void answer_kept(struct executor *executor, uint64_t route, const Shuntrun__Forward *forward,
-                        const struct key_entry *entry)
+static void replay_stored_answer(struct executor *executor, uint64_t route,
+                                 const Shuntrun__Forward *forward, const struct key_entry *entry)
 {
     Shuntrun__Answer answer = SHUNTRUN__ANSWER__INIT;
     bool stream = entry->model.digest[0] != 0;
@@ -287,44 +289,45 @@
     send_answer(executor, route, forward->gateway_incarnation, forward->sequence, &answer);
 }
 
-static void answer_repeat(struct executor *executor, uint64_t route,
-                          const Shuntrun__Forward *forward, const struct key_entry *entry)
+static void answer_repeated_key(struct executor *executor, uint64_t route,
+                                const Shuntrun__Forward *forward, const struct key_entry *entry)
 {
     if (entry->state == KEY_DONE && entry->answer_kept) {
-        answer_kept(executor, route, forward, entry);
+        replay_stored_answer(executor, route, forward, entry);
         return;
     }
     Shuntrun__Answer answer = SHUNTRUN__ANSWER__INIT;
     bool running = entry->state == KEY_RUNNING;
     answer.kind = SHUNTRUN__ANSWER_KIND__ANSWER_UNKNOWN;
     answer.replayed = true;
-    answer.retry_after_ms = running ? BUSY_RETRY_MS : 0;
+    answer.retry_after_ms = running ? BUSY_RETRY_AFTER_MS : 0;
     answer.reason = running ? "the first request under this key is running"
                             : "the answer to this key is not known";
     send_answer(executor, route, forward->gateway_incarnation, forward->sequence, &answer);
 }
 
 /* Checks of an unrepeatable request with a key. \return true when it may start */
-static bool key_may_start(struct executor *executor, uint64_t now, uint64_t route,
-                          const Shuntrun__Forward *forward, const struct service_config *service)
+static bool admit_key(struct executor *executor, uint64_t now, uint64_t route,
+                      const Shuntrun__Forward *forward, const struct service_config *service)
 {
     const char *key = forward->idempotency_key;
     struct key_entry *entry = key_table_find(executor->keys, key);
     if (entry) {
-        answer_repeat(executor, route, forward, entry);
+        answer_repeated_key(executor, route, forward, entry);
         return false;
     }
     if (service_home(service, key) != executor->self) {
-        refuse(executor, route, forward, "this agent is not the home of the key", 0);
+        reject_request(executor, route, forward, "this agent is not the home of the key", 0);
         return false;
     }
     const char *problem = ticket_problem(executor, now, service, key);
     if (problem) {
-        refuse(executor, route, forward, problem, BUSY_RETRY_MS);
+        reject_request(executor, route, forward, problem, BUSY_RETRY_AFTER_MS);
         return false;
     }
     if (key_table_count(executor->keys) >= executor->settings.key_limit) {
-        refuse(executor, route, forward, "too many idempotency keys are held", DRAIN_RETRY_MS);
+        reject_request(executor, route, forward, "too many idempotency keys are held",
+                       DRAIN_RETRY_AFTER_MS);
         return false;
     }
     return true;
@@ -350,7 +353,7 @@
         run->model = *model;
     if (forward->idempotency_key[0]) {
         struct key_entry *entry;
-        uint64_t window = (KEPT_EPOCHS + 1) * executor->settings.key_window_us;
+        uint64_t window = (VALID_TICKET_EPOCHS + 1) * executor->settings.key_window_us;
         run->key = memory_string(forward->idempotency_key);
         key_table_insert(executor->keys, run->key, now + window, &entry);
     }
@@ -375,17 +378,19 @@
 void executor_on_forward(struct executor *executor, uint64_t now, uint64_t route,
                          const Shuntrun__Forward *forward)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     if (!replay_guard_accept(&executor->guard, forward->gateway_incarnation, forward->sequence))
         return; /* came before: the first one is or will be answered */
-    const char *problem = misdirected(executor, forward);
+    const char *problem = rejection_reason(executor, forward);
     if (problem) {
-        refuse(executor, route, forward, problem, executor->draining ? DRAIN_RETRY_MS : 0);
+        reject_request(executor, route, forward, problem,
+                       executor->draining ? DRAIN_RETRY_AFTER_MS : 0);
         return;
     }
     const struct service_config *service = find_service(executor, forward->service);
     if (!service) {
-        refuse(executor, route, forward, "the service is not in this agent's configuration", 0);
+        reject_request(executor, route, forward, "the service is not in this agent's configuration",
+                       0);
         return;
     }
     const struct ready_model *model = NULL;
@@ -394,19 +399,19 @@
     bool serves = service->kind == SERVICE_MODEL ? model != NULL
                                                  : strcmp(executor->service, service->name) == 0;
     if (!serves) {
-        refuse(executor, route, forward, "this machine does not serve that now", 0);
+        reject_request(executor, route, forward, "this machine does not serve that now", 0);
         return;
     }
-    if (forward->idempotency_key[0] && !key_may_start(executor, now, route, forward, service))
+    if (forward->idempotency_key[0] && !admit_key(executor, now, route, forward, service))
         return;
     uint32_t tenant = admission_find(&executor->admission, forward->tenant);
     if (tenant == ADMISSION_UNKNOWN_TENANT) {
-        refuse(executor, route, forward, "the tenant is not known", 0);
+        reject_request(executor, route, forward, "the tenant is not known", 0);
         return;
     }
     if (executor->run_count >= executor->settings.capacity ||
         !admission_enter(&executor->admission, tenant)) {
-        refuse(executor, route, forward, "busy", BUSY_RETRY_MS);
+        reject_request(executor, route, forward, "busy", BUSY_RETRY_AFTER_MS);
         return;
     }
     start_run(executor, now, route, forward, tenant, model);
@@ -415,19 +420,19 @@
 /* ---- progress of runs ---- */
 
 /* Keep the tokens of a run under a key, up to a little more than can be kept. */
-static void collect(struct run *run, const uint8_t *data, size_t size)
+static void buffer_tokens(struct run *run, const uint8_t *data, size_t size)
 {
-    if (run->collected_size > KEY_MAX_ANSWER_SIZE)
+    if (run->partial_answer_size > KEY_MAX_ANSWER_SIZE)
         return;
-    run->collected = memory_resize(run->collected, run->collected_size + size);
-    memcpy(run->collected + run->collected_size, data, size);
-    run->collected_size += size;
+    run->partial_answer = memory_resize(run->partial_answer, run->partial_answer_size + size);
+    memcpy(run->partial_answer + run->partial_answer_size, data, size);
+    run->partial_answer_size += size;
 }
 
 void executor_on_tokens(struct executor *executor, uint64_t now, uint64_t run_id, uint64_t offset,
                         uint32_t count, const uint8_t *data, size_t size)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     struct run *run = find_run(executor, run_id);
     if (!run)
         return;
@@ -438,7 +443,7 @@
     }
     run->next_offset += count;
     if (run->key)
-        collect(run, data, size);
+        buffer_tokens(run, data, size);
     Shuntrun__Answer answer = SHUNTRUN__ANSWER__INIT;
     answer.kind = SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS;
     answer.offset = offset;
@@ -463,7 +468,7 @@
 void executor_on_done(struct executor *executor, uint64_t now, uint64_t run_id, uint64_t tokens,
                       const uint8_t *data, size_t size)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     struct run *run = find_run(executor, run_id);
     if (!run)
         return;
@@ -474,7 +479,7 @@
     if (run->plain)
         finish_key(executor, run, KEY_DONE, data, size);
     else
-        finish_key(executor, run, KEY_DONE, run->collected, run->collected_size);
+        finish_key(executor, run, KEY_DONE, run->partial_answer, run->partial_answer_size);
     answer_run(executor, run, &answer);
     remove_run(executor, run);
 }
@@ -482,7 +487,7 @@
 void executor_on_failed(struct executor *executor, uint64_t now, uint64_t run_id, bool started,
                         const char *reason)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     struct run *run = find_run(executor, run_id);
     if (!run)
         return;
@@ -500,7 +505,7 @@
 
 void executor_on_cancel(struct executor *executor, uint64_t now, const Shuntrun__Cancel *cancel)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     for (uint32_t i = 0; i < executor->run_count; i++) {
         struct run *run = &executor->runs[i];
         bool same = run->gateway_incarnation == cancel->gateway_incarnation &&
@@ -516,6 +521,6 @@
 
 void executor_on_tick(struct executor *executor, uint64_t now)
 {
-    note_time(executor, now);
+    detect_pause(executor, now);
     key_table_expire(executor->keys, now);
 }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -22,7 +22,7 @@
 #include "core/swarm.h"
 #include "generated/messages.pb-c.h"
 
-#define NODE_MAX_READY 4
+#define NODE_MAX_READY_MODELS 4
 #define NODE_NEVER UINT64_MAX
 
 struct node_settings {
@@ -46,7 +46,7 @@
     bool draining;
     uint32_t active_requests;
     uint32_t capacity;
-    struct ready_model ready[NODE_MAX_READY];
+    struct ready_model ready[NODE_MAX_READY_MODELS];
     uint32_t ready_count;
 };
 
@@ -61,12 +61,12 @@
     bool neighbour;      /**< a link of the overlay, not a wanted one */
     uint64_t last_heard; /**< 0: never */
     uint64_t last_sent;
-    uint64_t last_asked; /**< it polled this node */
+    uint64_t last_polled_by; /**< it polled this node */
 };
 
 enum node_read_result {
-    NODE_READ_NEWER,   /**< a body came */
-    NODE_READ_CURRENT, /**< the platform has nothing newer */
+    NODE_READ_NEWER,     /**< a body came */
+    NODE_READ_UNCHANGED, /**< the platform has nothing newer */
     NODE_READ_FAILED,
 };
 
@@ -79,7 +79,7 @@
     /** Configuration, machine list or placement changed. */
     void (*view_changed)(void *context);
     /** A configuration was refused; findings are valid during the call only. */
-    void (*config_refused)(void *context, uint64_t revision, const struct findings *findings);
+    void (*config_rejected)(void *context, uint64_t revision, const struct findings *findings);
     /** A peer's news were taken in; may be NULL. */
     void (*update_received)(void *context, const struct peer *peer,
                             const Shuntrun__NodeUpdate *update);
@@ -96,7 +96,7 @@
 void node_set_status(struct node *node, uint64_t now, const struct node_status *status);
 
 /** \brief Peers to poll besides the overlay's neighbours. */
-void node_want_links(struct node *node, const uint64_t *ids, uint32_t count);
+void node_set_extra_links(struct node *node, const uint64_t *ids, uint32_t count);
 
 void node_on_message(struct node *node, uint64_t now, const Shuntrun__Envelope *message);
 void node_on_read(struct node *node, uint64_t now, Shuntrun__DocumentKind kind,
@@ -116,6 +116,6 @@
 const struct peer *node_peer_at(const struct node *node, uint32_t index);
 uint32_t node_peer_count(const struct node *node);
 bool node_peer_alive(const struct node *node, const struct peer *peer, uint64_t now);
-uint32_t node_alive_peers(const struct node *node, uint64_t now);
+uint32_t node_alive_link_count(const struct node *node, uint64_t now);
 
 #endif
--- a/src/core/node_peers.c
+++ b/src/core/node_peers.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define JOIN_PEERS 3            /* neighbours that a new node must have heard */
-#define ASKED_FOR_US 5000000ULL /* a peer that polled within this time gets news pushed */
+#define JOIN_MIN_PEERS 3            /* neighbours that a new node must have heard */
+#define POLL_INTEREST_US 5000000ULL /* a peer that polled within this time gets news pushed */
 #define MAX_PEERS 1024
 
 static struct peer *find_peer(const struct node *node, uint64_t id)
@@ -50,7 +50,7 @@
     return peer && peer->last_heard && now - peer->last_heard < node->settings.suspect_us;
 }
 
-uint32_t node_alive_peers(const struct node *node, uint64_t now)
+uint32_t node_alive_link_count(const struct node *node, uint64_t now)
 {
     uint32_t alive = 0;
     for (uint32_t i = 0; i < node->peer_count; i++)
@@ -59,7 +59,7 @@
 }
 
 /* Peers that are new themselves know no better than this node and do not count. */
-bool node_peers_heard(const struct node *node)
+bool node_peers_have_reported(const struct node *node)
 {
     uint32_t links = 0;
     uint32_t heard = 0;
@@ -67,13 +67,13 @@
         links += node->peers[i].linked;
         heard += node->peers[i].linked && node->peers[i].last_heard && node->peers[i].joined;
     }
-    return heard >= JOIN_PEERS || heard == links;
+    return heard >= JOIN_MIN_PEERS || heard == links;
 }
 
 /* ---- links ---- */
 
 /* Regions by first appearance in the machine list. */
-static uint16_t region_number(const struct fleet *fleet, const char *region)
+static uint16_t region_index(const struct fleet *fleet, const char *region)
 {
     for (uint32_t i = 0; i < fleet->count; i++)
         if (strcmp(fleet->machines[i].region, region) == 0)
@@ -81,26 +81,26 @@
     return UINT16_MAX;
 }
 
-static bool already_neighbour(const void *context, uint64_t id)
+static bool is_neighbour(const void *context, uint64_t id)
 {
     const struct peer *peer = find_peer(context, id);
     return peer && peer->neighbour;
 }
 
-static void link_neighbours(struct node *node)
+static void select_neighbours(struct node *node)
 {
     struct member *members = memory_zero(node->fleet.count, sizeof *members);
     int64_t self = fleet_find(&node->fleet, node->id);
     uint16_t region = 0;
     for (uint32_t i = 0; i < node->fleet.count; i++) {
         members[i].id = node->fleet.machines[i].id;
-        members[i].region = region_number(&node->fleet, node->fleet.machines[i].region);
+        members[i].region = region_index(&node->fleet, node->fleet.machines[i].region);
     }
     if (self >= 0)
         region = members[self].region;
     for (uint32_t i = 0; i < node->settings.neighbours; i++) {
         struct overlay_query query = {members,    node->fleet.count, node->id, region,
-                                      i % 2 == 0, already_neighbour, node};
+                                      i % 2 == 0, is_neighbour,      node};
         uint64_t id = overlay_best(&query);
         struct peer *peer = id ? add_peer(node, id) : NULL;
         if (!peer)
@@ -111,7 +111,7 @@
     free(members);
 }
 
-static void drop_departed(struct node *node)
+static void remove_unlisted_peers(struct node *node)
 {
     uint32_t kept = 0;
     for (uint32_t i = 0; i < node->peer_count; i++)
@@ -120,28 +120,28 @@
     node->peer_count = kept;
 }
 
-void node_peers_rebuild(struct node *node)
+void node_peers_rebuild_links(struct node *node)
 {
-    drop_departed(node);
+    remove_unlisted_peers(node);
     for (uint32_t i = 0; i < node->peer_count; i++) {
         node->peers[i].linked = false;
         node->peers[i].neighbour = false;
     }
-    link_neighbours(node);
-    for (uint32_t i = 0; i < node->wanted_link_count; i++) {
-        uint64_t id = node->wanted_links[i];
+    select_neighbours(node);
+    for (uint32_t i = 0; i < node->extra_link_count; i++) {
+        uint64_t id = node->extra_links[i];
         struct peer *peer = fleet_find(&node->fleet, id) >= 0 ? add_peer(node, id) : NULL;
         if (peer)
             peer->linked = true;
     }
 }
 
-void node_want_links(struct node *node, const uint64_t *ids, uint32_t count)
+void node_set_extra_links(struct node *node, const uint64_t *ids, uint32_t count)
 {
-    free(node->wanted_links);
-    node->wanted_links = memory_copy(ids, count * sizeof *ids);
-    node->wanted_link_count = count;
-    node_peers_rebuild(node);
+    free(node->extra_links);
+    node->extra_links = memory_copy(ids, count * sizeof *ids);
+    node->extra_link_count = count;
+    node_peers_rebuild_links(node);
 }
 
 /* ---- sending ---- */
@@ -163,15 +163,15 @@
     update->draining = node->status.draining;
     update->active_requests = node->status.active_requests;
     update->capacity = node->status.capacity;
-    update->config_revision = node_held_revision(node);
+    update->config_revision = node_stored_config_revision(node);
     update->joined = node->joined;
     update->fleet_revision = document_revision(&fleet->document);
     update->config_age_ms = age_ms(config, now);
     update->fleet_age_ms = age_ms(fleet, now);
 }
 
-static void fill_swarm(const struct swarm_update *swarm, const char *rollout,
-                       Shuntrun__NodeUpdate *update)
+static void fill_swarm_update(const struct swarm_update *swarm, const char *rollout,
+                              Shuntrun__NodeUpdate *update)
 {
     update->rollout = (char *)rollout;
     update->sequence = swarm->sequence;
@@ -188,8 +188,8 @@
 static void send_update(struct node *node, uint64_t now, struct peer *peer, bool reply,
                         const struct swarm_update *swarm, const char *rollout)
 {
-    Shuntrun__ReadyModel models[NODE_MAX_READY];
-    Shuntrun__ReadyModel *pointers[NODE_MAX_READY];
+    Shuntrun__ReadyModel models[NODE_MAX_READY_MODELS];
+    Shuntrun__ReadyModel *pointers[NODE_MAX_READY_MODELS];
     Shuntrun__NodeUpdate update = SHUNTRUN__NODE_UPDATE__INIT;
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
     for (uint32_t i = 0; i < node->status.ready_count; i++) {
@@ -204,7 +204,7 @@
     update.n_ready = node->status.ready_count;
     update.reply = reply;
     if (swarm)
-        fill_swarm(swarm, rollout, &update);
+        fill_swarm_update(swarm, rollout, &update);
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_UPDATE;
     envelope.update = &update;
     peer->last_sent = now;
@@ -230,17 +230,18 @@
 }
 
 /* Tell news at once to links and to those who poll this node. */
-void node_peers_flush(struct node *node, uint64_t now)
+void node_peers_push(struct node *node, uint64_t now)
 {
     for (uint32_t i = 0; i < node->peer_count; i++) {
         struct peer *peer = &node->peers[i];
-        bool asks = peer->last_asked && now - peer->last_asked < ASKED_FOR_US;
-        if (peer->linked || asks)
+        bool polls_this_node =
+            peer->last_polled_by && now - peer->last_polled_by < POLL_INTEREST_US;
+        if (peer->linked || polls_this_node)
             send_update(node, now, peer, !peer->linked, NULL, NULL);
     }
 }
 
-static bool same_ready(const struct node_status *left, const struct node_status *right)
+static bool same_ready_models(const struct node_status *left, const struct node_status *right)
 {
     if (left->ready_count != right->ready_count)
         return false;
@@ -252,20 +253,20 @@
 
 void node_set_status(struct node *node, uint64_t now, const struct node_status *status)
 {
-    bool news = status->draining != node->status.draining ||
-                status->pause_epoch != node->status.pause_epoch ||
-                !same_ready(status, &node->status);
+    bool changed = status->draining != node->status.draining ||
+                   status->pause_epoch != node->status.pause_epoch ||
+                   !same_ready_models(status, &node->status);
     node->status = *status;
-    if (news)
-        node_peers_flush(node, now);
+    if (changed)
+        node_peers_push(node, now);
 }
 
 /* ---- receiving ---- */
 
-static void take_ready(struct node_status *status, const Shuntrun__NodeUpdate *update)
+static void copy_ready_models(struct node_status *status, const Shuntrun__NodeUpdate *update)
 {
     status->ready_count = 0;
-    for (size_t i = 0; i < update->n_ready && i < NODE_MAX_READY; i++) {
+    for (size_t i = 0; i < update->n_ready && i < NODE_MAX_READY_MODELS; i++) {
         struct ready_model *ready = &status->ready[status->ready_count++];
         snprintf(ready->model, sizeof ready->model, "%s", update->ready[i]->model);
         snprintf(ready->version, sizeof ready->version, "%s", update->ready[i]->version);
@@ -273,7 +274,7 @@
     }
 }
 
-static void take_status(struct peer *peer, uint64_t now, const Shuntrun__NodeUpdate *update)
+static void copy_peer_status(struct peer *peer, uint64_t now, const Shuntrun__NodeUpdate *update)
 {
     peer->status.incarnation = update->incarnation;
     peer->status.pause_epoch = update->pause_epoch;
@@ -285,10 +286,10 @@
     peer->joined = update->joined;
     peer->fleet_revision = update->fleet_revision;
     peer->last_heard = now;
-    take_ready(&peer->status, update);
+    copy_ready_models(&peer->status, update);
 }
 
-void node_peers_update(struct node *node, uint64_t now, const Shuntrun__Envelope *message)
+void node_peers_on_update(struct node *node, uint64_t now, const Shuntrun__Envelope *message)
 {
     const Shuntrun__NodeUpdate *update = message->update;
     if (message->from == node->id)
@@ -297,12 +298,12 @@
     struct peer *peer = listed ? add_peer(node, message->from) : NULL;
     if (!peer || update->incarnation < peer->status.incarnation)
         return;
-    take_status(peer, now, update);
+    copy_peer_status(peer, now, update);
     if (!update->reply) {
-        peer->last_asked = now;
+        peer->last_polled_by = now;
         send_update(node, now, peer, true, NULL, NULL);
     }
-    node_learn_revisions(node, now, message->from, update);
+    node_process_revisions(node, now, message->from, update);
     if (node->driver.update_received)
         node->driver.update_received(node->driver.context, peer, update);
 }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -8,10 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_ATTEMPTS 6
-#define SHED_RETRY_MS 500
-#define NO_AGENT_RETRY_MS 1000
-#define PRIORITIES 10 /* that callers may ask for; a tenant's precedence goes before them */
+#define MAX_REQUEST_ATTEMPTS 6
+#define OVERLOAD_RETRY_AFTER_MS 500
+#define NO_AGENT_RETRY_AFTER_MS 1000
+#define CALLER_PRIORITY_LEVELS                                                                     \
+    10 /* that callers may ask for; a tenant's precedence goes before them */
 
 struct router *router_create(const struct router_settings *settings, uint64_t incarnation,
                              uint64_t seed, const struct router_driver *driver)
@@ -87,7 +88,7 @@
     free_request(request);
 }
 
-static struct request *find_by_sequence(struct router *router, uint64_t sequence)
+static struct request *find_request_by_sequence(struct router *router, uint64_t sequence)
 {
     for (uint32_t i = 0; i < router->request_count; i++)
         if (router->requests[i]->sequence == sequence)
@@ -95,17 +96,17 @@
     return NULL;
 }
 
-static void count_verdict(struct router *router, const char *service, const char *tenant,
-                          const struct router_verdict *verdict)
+static void count_result(struct router *router, const char *service, const char *tenant,
+                         const struct router_result *result)
 {
-    service_counts_row(&router->services, service, tenant)->outcomes[verdict->outcome]++;
-    if (verdict->outcome == OUTCOME_DONE)
+    service_counts_row(&router->services, service, tenant)->outcomes[result->outcome]++;
+    if (result->outcome == OUTCOME_DONE)
         router->counters.done++;
-    else if (verdict->outcome == OUTCOME_NOT_RUN)
+    else if (result->outcome == OUTCOME_NOT_RUN)
         router->counters.not_run++;
     else
         router->counters.unknown++;
-    router->counters.replayed += verdict->replayed;
+    router->counters.replayed += result->replayed;
 }
 
 /* The attempt is over for this gateway, whatever becomes of it. */
@@ -113,24 +114,24 @@
 {
     if (!request->sequence)
         return;
-    struct agent_record *record = router_record(router, request->agent);
+    struct agent_record *record = router_get_agent_record(router, request->agent);
     assert(record->in_flight);
     record->in_flight--;
     request->sequence = 0;
 }
 
-static void finish(struct router *router, struct request *request,
-                   const struct router_verdict *verdict)
+static void finish_request(struct router *router, struct request *request,
+                           const struct router_result *result)
 {
     end_attempt(router, request);
-    count_verdict(router, request->service, request->tenant_name, verdict);
-    router->driver.end(router->driver.context, request->caller, request->next_offset, verdict);
+    count_result(router, request->service, request->tenant_name, result);
+    router->driver.end(router->driver.context, request->caller, request->next_offset, result);
     remove_request(router, request);
 }
 
 static void cancel_attempt(struct router *router, const struct request *request)
 {
-    int64_t index = router->view ? routing_view_agent(router->view, request->agent) : -1;
+    int64_t index = router->view ? routing_view_find_agent(router->view, request->agent) : -1;
     if (!request->sequence || index < 0)
         return;
     Shuntrun__Cancel cancel = SHUNTRUN__CANCEL__INIT;
@@ -141,8 +142,9 @@
 
 /* ---- attempts ---- */
 
-static enum router_send send_forward(struct router *router, uint64_t now,
-                                     const struct request *request, const struct route_agent *agent)
+static enum router_send_result send_forward(struct router *router, uint64_t now,
+                                            const struct request *request,
+                                            const struct route_agent *agent)
 {
     Shuntrun__Forward forward = SHUNTRUN__FORWARD__INIT;
     forward.gateway_incarnation = router->incarnation;
@@ -152,7 +154,7 @@
     forward.service = (char *)request->service;
     forward.version_digest = (char *)request->digest;
     forward.tenant = (char *)request->tenant_name;
-    forward.priority = request->priority + PRIORITIES * request->precedence;
+    forward.priority = request->priority + CALLER_PRIORITY_LEVELS * request->precedence;
     forward.remaining_us = request->deadline - now;
     forward.idempotency_key = request->key;
     forward.unrepeatable = request->unrepeatable;
@@ -161,31 +163,31 @@
     return router->driver.forward(router->driver.context, &agent->machine, &forward);
 }
 
-static void exclude(struct request *request, uint64_t agent)
+static void exclude_agent(struct request *request, uint64_t agent)
 {
-    if (request->excluded_count < MAX_EXCLUDED)
+    if (request->excluded_count < MAX_EXCLUDED_AGENTS)
         request->excluded[request->excluded_count++] = agent;
 }
 
-static void give_up(struct router *router, struct request *request, const char *reason,
-                    uint32_t retry_after_ms)
+static void fail_request(struct router *router, struct request *request, const char *reason,
+                         uint32_t retry_after_ms)
 {
-    struct router_verdict verdict = {
-        .outcome = request->maybe_ran ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
-        .http_status = request->maybe_ran ? 502 : 503,
+    struct router_result result = {
+        .outcome = request->may_have_run ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
+        .http_status = request->may_have_run ? 502 : 503,
         .retry_after_ms = retry_after_ms,
         .reason = reason,
     };
-    finish(router, request, &verdict);
+    finish_request(router, request, &result);
 }
 
 /* Start an attempt; ends the request when no agent can take it. `reason` tells why the last one
  * failed, "" for a first attempt. */
-static void attempt(struct router *router, uint64_t now, struct request *request,
-                    const char *reason, uint32_t retry_after_ms)
+static void start_attempt(struct router *router, uint64_t now, struct request *request,
+                          const char *reason, uint32_t retry_after_ms)
 {
-    const struct route_service *service = routing_view_service(router->view, request->service);
-    while (service && request->attempts < MAX_ATTEMPTS && request->deadline > now) {
+    const struct route_service *service = routing_view_find_service(router->view, request->service);
+    while (service && request->attempts < MAX_REQUEST_ATTEMPTS && request->deadline > now) {
         int64_t index = router_choose_agent(router, now, request, service);
         if (index < 0)
             break;
@@ -195,52 +197,53 @@
         request->agent = agent->id;
         request->agent_incarnation = agent->status.incarnation;
         request->last_progress = now;
-        router_record(router, agent->id)->in_flight++;
+        router_get_agent_record(router, agent->id)->in_flight++;
         if (send_forward(router, now, request, agent) == ROUTER_SENT)
             return;
         end_attempt(router, request);
-        exclude(request, agent->id);
-        router_note_failure(router, now, agent->id);
+        exclude_agent(request, agent->id);
+        router_record_failure(router, now, agent->id);
         reason = "no connection to the agent";
     }
     if (!retry_after_ms)
-        retry_after_ms = NO_AGENT_RETRY_MS;
-    give_up(router, request, reason[0] ? reason : "no replica can take the request now",
-            retry_after_ms);
+        retry_after_ms = NO_AGENT_RETRY_AFTER_MS;
+    fail_request(router, request, reason[0] ? reason : "no replica can take the request now",
+                 retry_after_ms);
 }
 
-static void retry(struct router *router, uint64_t now, struct request *request, const char *reason,
-                  uint32_t retry_after_ms)
+static void retry_request(struct router *router, uint64_t now, struct request *request,
+                          const char *reason, uint32_t retry_after_ms)
 {
     if (!retry_budget_spend(&router->budget)) {
-        give_up(router, request, reason, retry_after_ms ? retry_after_ms : SHED_RETRY_MS);
+        fail_request(router, request, reason,
+                     retry_after_ms ? retry_after_ms : OVERLOAD_RETRY_AFTER_MS);
         return;
     }
     router->counters.retries++;
     if (request->next_offset)
         router->counters.resumes++;
-    attempt(router, now, request, reason, retry_after_ms);
+    start_attempt(router, now, request, reason, retry_after_ms);
 }
 
 /* The attempt may have run: go on only when the request may be repeated. */
-static void attempt_lost(struct router *router, uint64_t now, struct request *request,
+static void fail_attempt(struct router *router, uint64_t now, struct request *request,
                          const char *reason, uint32_t retry_after_ms)
 {
     uint64_t agent = request->agent;
-    router_note_failure(router, now, agent);
+    router_record_failure(router, now, agent);
     end_attempt(router, request);
-    exclude(request, agent);
-    request->maybe_ran = true;
+    exclude_agent(request, agent);
+    request->may_have_run = true;
     if (request->unrepeatable)
-        give_up(router, request, reason, retry_after_ms);
+        fail_request(router, request, reason, retry_after_ms);
     else
-        retry(router, now, request, reason, retry_after_ms);
+        retry_request(router, now, request, reason, retry_after_ms);
 }
 
 /* ---- entry of requests ---- */
 
-static struct request *make_request(uint64_t now, uint64_t caller, uint32_t tenant,
-                                    const struct router_request *from)
+static struct request *create_request(uint64_t now, uint64_t caller, uint32_t tenant,
+                                      const struct router_request *from)
 {
     struct request *request = memory_zero(1, sizeof *request);
     request->caller = caller;
@@ -258,18 +261,19 @@
 }
 
 /* Refusals of unknown names are not counted under them: callers could make up any number. */
-static void refuse(struct router *router, uint64_t caller, const struct router_request *request,
-                   unsigned http_status, const char *reason, uint32_t retry_after_ms)
+static void reject_request(struct router *router, uint64_t caller,
+                           const struct router_request *request, unsigned http_status,
+                           const char *reason, uint32_t retry_after_ms)
 {
-    struct router_verdict verdict = {OUTCOME_NOT_RUN, http_status, retry_after_ms, reason, false};
+    struct router_result result = {OUTCOME_NOT_RUN, http_status, retry_after_ms, reason, false};
     if (request)
-        count_verdict(router, request->service, request->tenant, &verdict);
+        count_result(router, request->service, request->tenant, &result);
     else
         router->counters.not_run++;
-    router->driver.end(router->driver.context, caller, 0, &verdict);
+    router->driver.end(router->driver.context, caller, 0, &result);
 }
 
-static uint32_t precedence_of(const struct routing_view *view, const char *tenant)
+static uint32_t tenant_precedence(const struct routing_view *view, const char *tenant)
 {
     for (uint32_t i = 0; i < view->tenant_count; i++)
         if (strcmp(view->tenants[i].name, tenant) == 0)
@@ -282,29 +286,30 @@
 {
     router->counters.submitted++;
     if (!router->view) {
-        refuse(router, caller, NULL, 503, "no configuration is in force yet", NO_AGENT_RETRY_MS);
+        reject_request(router, caller, NULL, 503, "no configuration is in force yet",
+                       NO_AGENT_RETRY_AFTER_MS);
         return;
     }
-    if (!routing_view_service(router->view, request->service)) {
-        refuse(router, caller, NULL, 404, "unknown service", 0);
+    if (!routing_view_find_service(router->view, request->service)) {
+        reject_request(router, caller, NULL, 404, "unknown service", 0);
         return;
     }
     uint32_t tenant = admission_find(&router->admission, request->tenant);
     if (tenant == ADMISSION_UNKNOWN_TENANT) {
-        refuse(router, caller, NULL, 403, "unknown tenant", 0);
+        reject_request(router, caller, NULL, 403, "unknown tenant", 0);
         return;
     }
     if (!admission_enter(&router->admission, tenant)) {
         router->counters.shed++;
-        refuse(router, caller, request, 429, "the tenant has too many requests in progress",
-               SHED_RETRY_MS);
+        reject_request(router, caller, request, 429, "the tenant has too many requests in progress",
+                       OVERLOAD_RETRY_AFTER_MS);
         return;
     }
     retry_budget_earn(&router->budget);
-    struct request *entry = make_request(now, caller, tenant, request);
-    entry->precedence = precedence_of(router->view, request->tenant);
+    struct request *entry = create_request(now, caller, tenant, request);
+    entry->precedence = tenant_precedence(router->view, request->tenant);
     add_request(router, entry);
-    attempt(router, now, entry, "", 0);
+    start_attempt(router, now, entry, "", 0);
 }
 
 void router_abandon(struct router *router, uint64_t now, uint64_t caller)
@@ -323,10 +328,10 @@
 
 /* ---- answers ---- */
 
-static void begin_once(struct router *router, uint64_t now, struct request *request,
-                       const Shuntrun__Answer *answer)
+static void report_first_answer(struct router *router, uint64_t now, struct request *request,
+                                const Shuntrun__Answer *answer)
 {
-    if (request->begun)
+    if (request->begin_reported)
         return;
     struct service_row *row =
         service_counts_row(&router->services, request->service, request->tenant_name);
@@ -336,7 +341,7 @@
     snprintf(model.version, sizeof model.version, "%s", answer->version);
     snprintf(model.digest, sizeof model.digest, "%s", answer->digest);
     strcpy(request->digest, model.digest);
-    request->begun = true;
+    request->begin_reported = true;
     router->driver.begin(router->driver.context, request->caller, &model);
 }
 
@@ -355,10 +360,10 @@
     }
     if (answer->offset != request->next_offset || version_differs(request, answer)) {
         cancel_attempt(router, request);
-        attempt_lost(router, now, request, "the stream broke", 0);
+        fail_attempt(router, now, request, "the stream broke", 0);
         return;
     }
-    begin_once(router, now, request, answer);
+    report_first_answer(router, now, request, answer);
     request->next_offset += answer->token_count;
     router->counters.tokens += answer->token_count;
     router->driver.data(router->driver.context, request->caller, answer->offset,
@@ -371,16 +376,16 @@
     bool stream = answer->digest[0] != 0;
     if (stream && (answer->offset != request->next_offset || version_differs(request, answer))) {
         cancel_attempt(router, request);
-        attempt_lost(router, now, request, "the stream ended early", 0);
+        fail_attempt(router, now, request, "the stream ended early", 0);
         return;
     }
-    router_note_success(router, request->agent);
-    begin_once(router, now, request, answer);
+    router_record_success(router, request->agent);
+    report_first_answer(router, now, request, answer);
     if (!stream)
         router->driver.data(router->driver.context, request->caller, 0, 0, answer->data.data,
                             answer->data.len);
-    struct router_verdict verdict = {OUTCOME_DONE, 200, 0, "", answer->replayed};
-    finish(router, request, &verdict);
+    struct router_result result = {OUTCOME_DONE, 200, 0, "", answer->replayed};
+    finish_request(router, request, &result);
 }
 
 static void on_refused(struct router *router, uint64_t now, struct request *request,
@@ -388,24 +393,25 @@
 {
     uint64_t agent = request->agent;
     end_attempt(router, request);
-    exclude(request, agent);
-    retry(router, now, request, answer->reason, answer->retry_after_ms);
+    exclude_agent(request, agent);
+    retry_request(router, now, request, answer->reason, answer->retry_after_ms);
 }
 
 void router_on_answer(struct router *router, uint64_t now, uint64_t agent,
                       const Shuntrun__Answer *answer)
 {
-    struct request *request = answer->sequence ? find_by_sequence(router, answer->sequence) : NULL;
+    struct request *request =
+        answer->sequence ? find_request_by_sequence(router, answer->sequence) : NULL;
     if (answer->gateway_incarnation != router->incarnation || !request || request->agent != agent) {
         router->counters.dropped_answers++;
         return;
     }
     if (answer->kind == SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS && request->next_offset)
-        router_note_speed(router, agent, now - request->last_progress, answer->token_count);
+        router_record_token_time(router, agent, now - request->last_progress, answer->token_count);
     request->last_progress = now;
     switch (answer->kind) {
     case SHUNTRUN__ANSWER_KIND__ANSWER_STARTED:
-        request->maybe_ran = true;
+        request->may_have_run = true;
         break;
     case SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS:
         on_tokens(router, now, request, answer);
@@ -417,7 +423,7 @@
         on_refused(router, now, request, answer);
         break;
     default:
-        attempt_lost(router, now, request, answer->reason, answer->retry_after_ms);
+        fail_attempt(router, now, request, answer->reason, answer->retry_after_ms);
         break;
     }
 }
@@ -426,25 +432,25 @@
 
 static bool agent_restarted(const struct router *router, const struct request *request)
 {
-    int64_t index = routing_view_agent(router->view, request->agent);
+    int64_t index = routing_view_find_agent(router->view, request->agent);
     if (index < 0)
         return false;
     return router->view->agents[index].status.incarnation > request->agent_incarnation;
 }
 
-static void check_request(struct router *router, uint64_t now, struct request *request)
+static void check_request_timeouts(struct router *router, uint64_t now, struct request *request)
 {
     if (!request->sequence)
         return;
     if (now >= request->deadline) {
         cancel_attempt(router, request);
-        request->maybe_ran = true;
-        give_up(router, request, "deadline", 0);
+        request->may_have_run = true;
+        fail_request(router, request, "deadline", 0);
     } else if (router->view && agent_restarted(router, request)) {
-        attempt_lost(router, now, request, "the agent restarted", 0);
+        fail_attempt(router, now, request, "the agent restarted", 0);
     } else if (now - request->last_progress >= router->settings.stall_us) {
         cancel_attempt(router, request);
-        attempt_lost(router, now, request, "the agent stalled", 0);
+        fail_attempt(router, now, request, "the agent stalled", 0);
     }
 }
 
@@ -453,7 +459,7 @@
     /* Ending a request moves the last one to its place: go backwards. */
     for (uint32_t i = router->request_count; i-- > 0;)
         if (i < router->request_count)
-            check_request(router, now, router->requests[i]);
+            check_request_timeouts(router, now, router->requests[i]);
 }
 
 void router_set_view(struct router *router, uint64_t now, const struct routing_view *view)
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -36,10 +36,10 @@
     size_t body_size;
 };
 
-enum router_send { ROUTER_SENT, ROUTER_NOT_SENT /**< nothing was handed to a transport */ };
+enum router_send_result { ROUTER_SENT, ROUTER_NOT_SENT /**< nothing was handed to a transport */ };
 
 /** How a request that cannot be served is told to the caller. */
-struct router_verdict {
+struct router_result {
     enum outcome outcome;
     unsigned http_status;
     uint32_t retry_after_ms; /**< 0: none */
@@ -49,8 +49,8 @@
 
 struct router_driver {
     void *context;
-    enum router_send (*forward)(void *context, const struct machine *agent,
-                                Shuntrun__Forward *forward);
+    enum router_send_result (*forward)(void *context, const struct machine *agent,
+                                       Shuntrun__Forward *forward);
     void (*cancel)(void *context, const struct machine *agent, Shuntrun__Cancel *cancel);
     /** First news of the version that answers; once for each request that starts. */
     void (*begin)(void *context, uint64_t caller, const struct ready_model *model);
@@ -58,7 +58,7 @@
                  const uint8_t *data, size_t size);
     /** Last call for a request. `tokens` were given in all. */
     void (*end)(void *context, uint64_t caller, uint64_t tokens,
-                const struct router_verdict *verdict);
+                const struct router_result *result);
 };
 
 struct router_counters {
--- a/src/core/router_agents.c
+++ b/src/core/router_agents.c
@@ -7,12 +7,13 @@
 
 #include <string.h>
 
-#define EJECT_FAILURES 3      /* failures in a row that eject an agent */
-#define EJECT_LEAST 500000ULL /* first ejection, microseconds; doubles */
-#define EJECT_MOST 16000000ULL
-#define SPEED_MEMORY 64ULL /* tokens over which the mean time between tokens is taken */
+#define EJECTION_FAILURE_THRESHOLD 3 /* failures in a row that eject an agent */
+#define EJECTION_MIN_US 500000ULL    /* first ejection, microseconds; doubles */
+#define EJECTION_MAX_US 16000000ULL
+#define TOKEN_TIME_AVERAGE_TOKENS                                                                  \
+    64ULL /* tokens over which the mean time between tokens is taken */
 
-struct agent_record *router_record(struct router *router, uint64_t id)
+struct agent_record *router_get_agent_record(struct router *router, uint64_t id)
 {
     for (uint32_t i = 0; i < router->record_count; i++)
         if (router->records[i].id == id)
@@ -26,23 +27,23 @@
 
 /* ---- health of agents as this gateway sees it ---- */
 
-void router_note_failure(struct router *router, uint64_t now, uint64_t agent)
+void router_record_failure(struct router *router, uint64_t now, uint64_t agent)
 {
-    struct agent_record *record = router_record(router, agent);
-    if (++record->failures < EJECT_FAILURES)
+    struct agent_record *record = router_get_agent_record(router, agent);
+    if (++record->failures < EJECTION_FAILURE_THRESHOLD)
         return;
-    record->eject_us = record->eject_us ? 2 * record->eject_us : EJECT_LEAST;
-    if (record->eject_us > EJECT_MOST)
-        record->eject_us = EJECT_MOST;
-    record->ejected_until = now + record->eject_us;
-    record->failures = EJECT_FAILURES - 1; /* one probe decides after the ejection */
+    record->ejection_us = record->ejection_us ? 2 * record->ejection_us : EJECTION_MIN_US;
+    if (record->ejection_us > EJECTION_MAX_US)
+        record->ejection_us = EJECTION_MAX_US;
+    record->ejected_until = now + record->ejection_us;
+    record->failures = EJECTION_FAILURE_THRESHOLD - 1; /* one probe decides after the ejection */
 }
 
-void router_note_success(struct router *router, uint64_t agent)
+void router_record_success(struct router *router, uint64_t agent)
 {
-    struct agent_record *record = router_record(router, agent);
+    struct agent_record *record = router_get_agent_record(router, agent);
     record->failures = 0;
-    record->eject_us = 0;
+    record->ejection_us = 0;
     record->ejected_until = 0;
 }
 
@@ -56,34 +57,35 @@
     return false;
 }
 
-static bool may_take(struct router *router, uint64_t now, const struct request *request,
-                     const struct route_service *service, const struct route_agent *agent)
+static bool is_eligible(struct router *router, uint64_t now, const struct request *request,
+                        const struct route_service *service, const struct route_agent *agent)
 {
     if (!agent->alive || agent->status.draining || is_excluded(request, agent->id))
         return false;
-    if (router_record(router, agent->id)->ejected_until > now)
+    if (router_get_agent_record(router, agent->id)->ejected_until > now)
         return false;
     if (service->kind == SERVICE_PLAIN || !request->digest[0])
         return true;
-    const struct ready_model *ready = route_agent_ready(agent, service->model);
+    const struct ready_model *ready = route_agent_find_ready_model(agent, service->model);
     return ready && strcmp(ready->digest, request->digest) == 0;
 }
 
-static uint32_t list_candidates(struct router *router, uint64_t now, const struct request *request,
-                                const struct route_service *service,
-                                struct balance_candidate *candidates)
+static uint32_t collect_candidates(struct router *router, uint64_t now,
+                                   const struct request *request,
+                                   const struct route_service *service,
+                                   struct balance_candidate *candidates)
 {
     uint32_t count = 0;
     for (uint32_t i = 0; i < service->agent_count; i++) {
         const struct route_agent *agent = &router->view->agents[service->agents[i]];
-        if (!may_take(router, now, request, service, agent))
+        if (!is_eligible(router, now, request, service, agent))
             continue;
         candidates[count++] = (struct balance_candidate){
             .agent = service->agents[i],
-            .in_flight = router_record(router, agent->id)->in_flight,
+            .in_flight = router_get_agent_record(router, agent->id)->in_flight,
             .reported = agent->status.active_requests,
             .capacity = agent->status.capacity,
-            .token_us = router_record(router, agent->id)->token_us,
+            .token_us = router_get_agent_record(router, agent->id)->token_us,
             .distance = agent->distance,
         };
     }
@@ -95,14 +97,14 @@
 {
     if (request->key[0]) {
         int64_t home =
-            routing_view_agent(router->view, service_home(&service->homes, request->key));
+            routing_view_find_agent(router->view, service_home(&service->homes, request->key));
         if (home < 0 || is_excluded(request, router->view->agents[home].id))
             return -1;
         const struct route_agent *agent = &router->view->agents[home];
         return agent->alive && !agent->status.draining ? home : -1;
     }
     struct balance_candidate candidates[service->agent_count + 1];
-    uint32_t count = list_candidates(router, now, request, service, candidates);
+    uint32_t count = collect_candidates(router, now, request, service, candidates);
     if (router->settings.balance == balance_two_choices)
         count = balance_drop_slow(&router->balance, candidates, count);
     if (!count)
@@ -110,11 +112,13 @@
     return candidates[router->settings.balance(&router->balance, candidates, count)].agent;
 }
 
-void router_note_speed(struct router *router, uint64_t agent, uint64_t elapsed, uint32_t tokens)
+void router_record_token_time(struct router *router, uint64_t agent, uint64_t elapsed,
+                              uint32_t tokens)
 {
-    struct agent_record *record = router_record(router, agent);
+    struct agent_record *record = router_get_agent_record(router, agent);
     uint64_t token_us = elapsed / (tokens ? tokens : 1) + 1;
     if (record->token_us)
-        token_us = ((SPEED_MEMORY - 1) * record->token_us + token_us) / SPEED_MEMORY;
+        token_us = ((TOKEN_TIME_AVERAGE_TOKENS - 1) * record->token_us + token_us) /
+                   TOKEN_TIME_AVERAGE_TOKENS;
     record->token_us = token_us < UINT32_MAX ? (uint32_t)token_us : UINT32_MAX;
 }
--- a/src/core/router_internal.h
+++ b/src/core/router_internal.h
@@ -8,7 +8,7 @@
 #include "core/retry_budget.h"
 #include "core/router.h"
 
-#define MAX_EXCLUDED 8
+#define MAX_EXCLUDED_AGENTS 8
 
 struct request {
     uint64_t caller;
@@ -26,13 +26,13 @@
     uint8_t *body;
     size_t body_size;
     bool unrepeatable;
-    bool begun;
-    bool maybe_ran;
+    bool begin_reported;
+    bool may_have_run;
     uint32_t priority;
     uint32_t precedence; /* of the tenant, by policy */
     uint32_t attempts;
     uint64_t next_offset;
-    uint64_t excluded[MAX_EXCLUDED]; /* agents that failed or refused this request */
+    uint64_t excluded[MAX_EXCLUDED_AGENTS]; /* agents that failed or refused this request */
     uint32_t excluded_count;
 };
 
@@ -42,7 +42,7 @@
     uint32_t in_flight;
     uint32_t failures;
     uint32_t token_us; /* mean time between tokens of one stream */
-    uint64_t eject_us;
+    uint64_t ejection_us;
     uint64_t ejected_until;
 };
 
@@ -65,10 +65,11 @@
 };
 
 /* router_agents.c */
-struct agent_record *router_record(struct router *router, uint64_t id);
-void router_note_failure(struct router *router, uint64_t now, uint64_t agent);
-void router_note_success(struct router *router, uint64_t agent);
-void router_note_speed(struct router *router, uint64_t agent, uint64_t elapsed, uint32_t tokens);
+struct agent_record *router_get_agent_record(struct router *router, uint64_t id);
+void router_record_failure(struct router *router, uint64_t now, uint64_t agent);
+void router_record_success(struct router *router, uint64_t agent);
+void router_record_token_time(struct router *router, uint64_t agent, uint64_t elapsed,
+                              uint32_t tokens);
 /** \return index in the view of the agent that should take the request, -1 when none can */
 int64_t router_choose_agent(struct router *router, uint64_t now, const struct request *request,
                             const struct route_service *service);
--- a/src/core/routing_view.c
+++ b/src/core/routing_view.c
@@ -7,15 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct ranked {
+struct ranked_agent {
     uint64_t id;
     uint64_t weight;
 };
 
-static int compare_ranked(const void *left, const void *right)
+static int compare_ranked_agents(const void *left, const void *right)
 {
-    const struct ranked *a = left;
-    const struct ranked *b = right;
+    const struct ranked_agent *a = left;
+    const struct ranked_agent *b = right;
     return a->weight > b->weight ? -1 : a->weight < b->weight;
 }
 
@@ -29,7 +29,7 @@
 }
 
 /* Former holders stay candidates while they are still ready, so that a rollout loses nobody. */
-static bool is_ready_for_any(const struct peer *peer, const struct fleet_config *config)
+static bool is_ready_for_any_model(const struct peer *peer, const struct fleet_config *config)
 {
     for (uint32_t i = 0; i < peer->status.ready_count; i++)
         if (fleet_config_model(config, peer->status.ready[i].model))
@@ -37,17 +37,17 @@
     return false;
 }
 
-static void link_model(const struct node *node, uint32_t model, uint32_t subset, uint64_t **ids,
-                       uint32_t *count)
+static void append_model_links(const struct node *node, uint32_t model, uint32_t subset,
+                               uint64_t **ids, uint32_t *count)
 {
     const struct model_placement *placement = &node_placement(node)->models[model];
     const struct fleet *fleet = node_fleet(node);
-    struct ranked *ranked = memory_zero(placement->target_count, sizeof *ranked);
+    struct ranked_agent *ranked = memory_zero(placement->target_count, sizeof *ranked);
     for (uint32_t i = 0; i < placement->target_count; i++) {
         uint64_t id = fleet->machines[placement->targets[i]].id;
-        ranked[i] = (struct ranked){id, hash_pair(node_id(node), id)};
+        ranked[i] = (struct ranked_agent){id, hash_pair(node_id(node), id)};
     }
-    qsort(ranked, placement->target_count, sizeof *ranked, compare_ranked);
+    qsort(ranked, placement->target_count, sizeof *ranked, compare_ranked_agents);
     for (uint32_t i = 0; i < placement->target_count && i < subset; i++)
         append_unique(ids, count, ranked[i].id);
     free(ranked);
@@ -61,17 +61,17 @@
     if (!config || !node_placement(node))
         return NULL;
     for (uint32_t i = 0; i < config->model_count; i++)
-        link_model(node, i, subset, &ids, count);
+        append_model_links(node, i, subset, &ids, count);
     for (uint32_t i = 0; i < config->service_count; i++)
         for (uint32_t j = 0; j < config->services[i].machine_count; j++)
             append_unique(&ids, count, config->services[i].machines[j]);
     for (uint32_t i = 0; i < node_peer_count(node); i++)
-        if (is_ready_for_any(node_peer_at(node, i), config))
+        if (is_ready_for_any_model(node_peer_at(node, i), config))
             append_unique(&ids, count, node_peer_at(node, i)->id);
     return ids;
 }
 
-static uint16_t distance_to(const struct machine *machine, const char *zone, const char *region)
+static uint16_t zone_distance(const struct machine *machine, const char *zone, const char *region)
 {
     if (strcmp(machine->zone, zone) == 0)
         return 0;
@@ -89,7 +89,7 @@
     struct route_agent *agent = &view->agents[view->agent_count++];
     agent->id = id;
     agent->machine = fleet->machines[index];
-    agent->distance = distance_to(&agent->machine, zone, region);
+    agent->distance = zone_distance(&agent->machine, zone, region);
     agent->alive = node_peer_alive(node, peer, now);
     if (peer)
         agent->status = peer->status;
@@ -109,7 +109,7 @@
     for (uint32_t i = 0; i < view->agent_count; i++) {
         const struct route_agent *agent = &view->agents[i];
         bool serves = config->kind == SERVICE_MODEL
-                          ? route_agent_ready(agent, config->model) != NULL
+                          ? route_agent_find_ready_model(agent, config->model) != NULL
                           : ids_contain(config->machines, config->machine_count, agent->id);
         if (serves)
             service->agents[service->agent_count++] = i;
@@ -153,7 +153,8 @@
     free(view);
 }
 
-const struct route_service *routing_view_service(const struct routing_view *view, const char *name)
+const struct route_service *routing_view_find_service(const struct routing_view *view,
+                                                      const char *name)
 {
     for (uint32_t i = 0; i < view->service_count; i++)
         if (strcmp(view->services[i].name, name) == 0)
@@ -161,7 +162,7 @@
     return NULL;
 }
 
-int64_t routing_view_agent(const struct routing_view *view, uint64_t id)
+int64_t routing_view_find_agent(const struct routing_view *view, uint64_t id)
 {
     for (uint32_t i = 0; i < view->agent_count; i++)
         if (view->agents[i].id == id)
@@ -169,7 +170,8 @@
     return -1;
 }
 
-const struct ready_model *route_agent_ready(const struct route_agent *agent, const char *model)
+const struct ready_model *route_agent_find_ready_model(const struct route_agent *agent,
+                                                       const char *model)
 {
     for (uint32_t i = 0; i < agent->status.ready_count; i++)
         if (strcmp(agent->status.ready[i].model, model) == 0)
@@ -177,8 +179,8 @@
     return NULL;
 }
 
-void routing_view_ticket(const struct routing_view *view, const struct route_service *service,
-                         char text[TICKET_SIZE])
+void routing_view_format_ticket(const struct routing_view *view,
+                                const struct route_service *service, char text[TICKET_SIZE])
 {
     struct ticket ticket = {.homes_hash = ticket_homes_hash(&service->homes)};
     text[0] = 0;
@@ -186,7 +188,7 @@
         return;
     ticket.home_count = service->homes.machine_count;
     for (uint32_t i = 0; i < ticket.home_count; i++) {
-        int64_t agent = routing_view_agent(view, service->homes.machines[i]);
+        int64_t agent = routing_view_find_agent(view, service->homes.machines[i]);
         if (agent < 0)
             continue;
         ticket.homes[i].incarnation = view->agents[agent].status.incarnation;
--- a/src/core/routing_view.h
+++ b/src/core/routing_view.h
@@ -50,14 +50,16 @@
                                         const char *region, uint64_t now);
 void routing_view_destroy(struct routing_view *view);
 
-const struct route_service *routing_view_service(const struct routing_view *view, const char *name);
-int64_t routing_view_agent(const struct routing_view *view, uint64_t id);
+const struct route_service *routing_view_find_service(const struct routing_view *view,
+                                                      const char *name);
+int64_t routing_view_find_agent(const struct routing_view *view, uint64_t id);
 
 /** \brief The digest with which an agent is ready for a model. \return NULL when it is not */
-const struct ready_model *route_agent_ready(const struct route_agent *agent, const char *model);
+const struct ready_model *route_agent_find_ready_model(const struct route_agent *agent,
+                                                       const char *model);
 
 /** \brief Ticket for one plain service, "" when it cannot have one. */
-void routing_view_ticket(const struct routing_view *view, const struct route_service *service,
-                         char text[TICKET_SIZE]);
+void routing_view_format_ticket(const struct routing_view *view,
+                                const struct route_service *service, char text[TICKET_SIZE]);
 
 #endif
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -48,7 +48,7 @@
         ids[count++] = machine->id;
         gateways++;
     }
-    node_want_links(gateway->shell.node, ids, count);
+    node_set_extra_links(gateway->shell.node, ids, count);
     free(ids);
 }
 
@@ -106,7 +106,7 @@
         gateway->shell.node, AGENT_SUBSET, gateway->settings.zone, gateway->settings.region, now);
     for (uint32_t i = 0; view && i < view->service_count; i++) {
         char ticket[TICKET_SIZE];
-        routing_view_ticket(view, &view->services[i], ticket);
+        routing_view_format_ticket(view, &view->services[i], ticket);
         json_object_set_new(tickets, view->services[i].name, json_string(ticket));
     }
     routing_view_destroy(view);
--- a/src/gateway/gateway_traffic.c
+++ b/src/gateway/gateway_traffic.c
@@ -65,8 +65,8 @@
 
 /* ---- router driver ---- */
 
-static enum router_send forward(void *context, const struct machine *agent,
-                                Shuntrun__Forward *message)
+static enum router_send_result forward(void *context, const struct machine *agent,
+                                       Shuntrun__Forward *message)
 {
     struct gateway_traffic *traffic = context;
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
@@ -130,7 +130,7 @@
 }
 
 static void end_stream(struct gateway_traffic *traffic, struct call *call, uint64_t tokens,
-                       const struct router_verdict *verdict)
+                       const struct router_result *verdict)
 {
     json_t *line = json_pack("{s:s, s:s, s:I, s:b}", "end",
                              verdict->outcome == OUTCOME_DONE ? "done" : "error", "outcome",
@@ -146,7 +146,7 @@
     json_decref(line);
 }
 
-static void begin_final(struct call *call, const struct router_verdict *verdict,
+static void begin_final(struct call *call, const struct router_result *verdict,
                         const char *content_type)
 {
     char retry_after[32];
@@ -163,7 +163,7 @@
 }
 
 static void end_error(struct gateway_traffic *traffic, struct call *call,
-                      const struct router_verdict *verdict)
+                      const struct router_result *verdict)
 {
     json_t *body = json_pack("{s:s, s:s, s:i}", "outcome", outcome_name(verdict->outcome), "error",
                              verdict->reason, "retry_after_ms", verdict->retry_after_ms);
@@ -175,7 +175,7 @@
 }
 
 static void end(void *context, uint64_t number, uint64_t tokens,
-                const struct router_verdict *verdict)
+                const struct router_result *verdict)
 {
     struct gateway_traffic *traffic = context;
     struct call *call = find_call(traffic, number);
--- a/src/net/daemon.c
+++ b/src/net/daemon.c
@@ -109,5 +109,5 @@
                      "incarnation", (json_int_t)shell->incarnation, "config_revision",
                      (json_int_t)(config ? config->revision : 0), "draining",
                      daemon_is_draining(drain), "machines", node_fleet(shell->node)->count,
-                     "live_peers", node_alive_peers(shell->node, clock_monotonic_us()));
+                     "live_peers", node_alive_link_count(shell->node, clock_monotonic_us()));
 }
--- a/src/net/node_shell.c
+++ b/src/net/node_shell.c
@@ -45,7 +45,7 @@
     if (response->result == HTTP_COMPLETE && response->status == 200)
         result = take_value(read, response);
     else if (response->result == HTTP_COMPLETE && response->status == 204)
-        result = NODE_READ_CURRENT;
+        result = NODE_READ_UNCHANGED;
     if (result == NODE_READ_FAILED)
         log_event(LOG_LEVEL_DEBUG, "platform", "read_failed", "kind=%d status=%ld", read->kind,
                   response->status);
@@ -176,7 +176,7 @@
         check_keys(shell);
     }
     node_on_tick(shell->node, now);
-    metric_gauge_set(METRIC_LIVE_PEERS, node_alive_peers(shell->node, now));
+    metric_gauge_set(METRIC_LIVE_PEERS, node_alive_link_count(shell->node, now));
     shell->callbacks.tick(shell->callbacks.context, now);
 }
 
--- a/src/sim/fleet/callers.c
+++ b/src/sim/fleet/callers.c
@@ -41,9 +41,9 @@
         group->gateways[group->gateway_count++] =
             world_find(world, fleet->machines[machines[i]].id)->index;
     const struct route_service *service =
-        gateway->view ? routing_view_service(gateway->view, "seats") : NULL;
+        gateway->view ? routing_view_find_service(gateway->view, "seats") : NULL;
     if (service)
-        routing_view_ticket(gateway->view, service, group->ticket);
+        routing_view_format_ticket(gateway->view, service, group->ticket);
     group->valid_until = world->now + MAX_AGE_US;
 }
 
--- a/src/sim/fleet/platform.c
+++ b/src/sim/fleet/platform.c
@@ -184,7 +184,7 @@
     if (revision > read->known || (stale && revision && revision < read->known)) {
         answer_read(world, read, NODE_READ_NEWER, revision, PLATFORM_DELAY_US);
     } else if (world->now >= read->deadline) {
-        answer_read(world, read, NODE_READ_CURRENT, 0, PLATFORM_DELAY_US);
+        answer_read(world, read, NODE_READ_UNCHANGED, 0, PLATFORM_DELAY_US);
     } else {
         struct document_read *again = memory_copy(read, sizeof *read);
         world_push(world, POLL_US, WORLD_READ, 0, event->from, 0, again);
--- a/src/sim/fleet/processes.c
+++ b/src/sim/fleet/processes.c
@@ -100,7 +100,7 @@
         if (fleet->machines[i].role == MACHINE_GATEWAY &&
             fleet->machines[i].id != node_id(process->node))
             ids[count++] = fleet->machines[i].id;
-    node_want_links(process->node, ids, count);
+    node_set_extra_links(process->node, ids, count);
     free(ids);
 }
 
@@ -138,14 +138,14 @@
     load_wanted_version(process);
 }
 
-static void config_refused(void *context, uint64_t revision, const struct findings *findings)
+static void config_rejected(void *context, uint64_t revision, const struct findings *findings)
 {
 }
 
 /* ---- router driver ---- */
 
-static enum router_send forward(void *context, const struct machine *agent,
-                                Shuntrun__Forward *message)
+static enum router_send_result forward(void *context, const struct machine *agent,
+                                       Shuntrun__Forward *message)
 {
     struct process *process = context;
     struct world *world = process->world;
@@ -208,7 +208,7 @@
 }
 
 static void end(void *context, uint64_t caller, uint64_t tokens,
-                const struct router_verdict *verdict)
+                const struct router_result *verdict)
 {
     struct process *process = context;
     struct news *news = make_news(caller, NEWS_END);
@@ -307,8 +307,8 @@
     machine->leaving_since = machine->listed_leaving ? machine->leaving_since : 0;
     uint64_t seed = hash_pair(world->options.seed, process->index + 1);
     struct node_settings settings = {4, 2, UPDATE_US, SUSPECT_US};
-    struct node_driver driver = {process,      send_control,   read_document,
-                                 view_changed, config_refused, NULL};
+    struct node_driver driver = {process,      send_control,    read_document,
+                                 view_changed, config_rejected, NULL};
     process->node = node_create(&settings, machine->listing.name, machine->listing.zone,
                                 machine->listing.role, seed, world->now, &driver);
     if (process->gateway)
--- a/src/sim/fleet/world.h
+++ b/src/sim/fleet/world.h
@@ -159,7 +159,7 @@
     uint64_t attempt;
     enum news_kind kind;
     uint32_t http_status;
-    struct router_verdict verdict;
+    struct router_result verdict;
     uint64_t tokens;
     uint64_t offset;
     uint32_t count;
--- a/tests/core/executor_test.c
+++ b/tests/core/executor_test.c
@@ -121,7 +121,7 @@
     executor_on_done(fixture->executor, now, fixture->recorder.run, 0, (const uint8_t *)"ok", 2);
 }
 
-static void a_key_runs_once_and_a_repeat_gets_the_kept_answer(void **state)
+static void a_key_runs_once_and_a_repeat_gets_the_stored_answer(void **state)
 {
     struct fixture *fixture = *state;
     send_key(fixture, 10, "k");
@@ -134,7 +134,7 @@
     assert_true(fixture->recorder.replayed);
 }
 
-static void tickets_of_others_are_refused(void **state)
+static void tickets_of_another_incarnation_or_home_are_refused(void **state)
 {
     struct fixture *fixture = *state;
     make_ticket(fixture, INCARNATION - 1, 0);
@@ -150,7 +150,7 @@
     assert_int_equal(fixture->recorder.starts, 0);
 }
 
-static void an_old_ticket_is_refused_before_its_keys_are_forgotten(void **state)
+static void an_old_ticket_is_refused_before_its_keys_expire(void **state)
 {
     struct fixture *fixture = *state;
     send_key(fixture, 10, "k");
@@ -164,7 +164,7 @@
     assert_non_null(strstr(fixture->recorder.reason, "too old"));
 }
 
-static void a_key_without_a_ticket_waits_after_a_start(void **state)
+static void a_key_without_a_ticket_is_refused_for_two_windows_after_a_start(void **state)
 {
     struct fixture *fixture = *state;
     strcpy(fixture->ticket, "x");
@@ -176,7 +176,7 @@
     assert_int_equal(fixture->recorder.starts, 1);
 }
 
-static void what_came_before_a_pause_ended_is_refused(void **state)
+static void requests_sent_before_a_pause_ended_are_refused(void **state)
 {
     struct fixture *fixture = *state;
     executor_on_tick(fixture->executor, 100);
@@ -187,7 +187,7 @@
     assert_int_equal(fixture->recorder.starts, 1);
 }
 
-static void a_request_that_comes_twice_is_dropped(void **state)
+static void a_duplicate_request_is_dropped(void **state)
 {
     struct fixture *fixture = *state;
     send_with(fixture, 10, NULL, 1, 0);
@@ -197,7 +197,7 @@
     assert_int_equal(fixture->recorder.answers, answers);
 }
 
-static void draining_and_full_agents_refuse(void **state)
+static void draining_and_full_agents_refuse_requests(void **state)
 {
     struct fixture *fixture = *state;
     send_key(fixture, 10, NULL);
@@ -212,7 +212,7 @@
     assert_non_null(strstr(fixture->recorder.reason, "leaving"));
 }
 
-static void a_run_that_did_not_start_frees_its_key(void **state)
+static void a_run_that_did_not_start_releases_its_key(void **state)
 {
     struct fixture *fixture = *state;
     send_key(fixture, 10, "k");
@@ -229,18 +229,21 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(a_key_runs_once_and_a_repeat_gets_the_kept_answer, set_up,
+        cmocka_unit_test_setup_teardown(a_key_runs_once_and_a_repeat_gets_the_stored_answer, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(tickets_of_others_are_refused, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(an_old_ticket_is_refused_before_its_keys_are_forgotten,
-                                        set_up, tear_down),
-        cmocka_unit_test_setup_teardown(a_key_without_a_ticket_waits_after_a_start, set_up,
+        cmocka_unit_test_setup_teardown(tickets_of_another_incarnation_or_home_are_refused, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(what_came_before_a_pause_ended_is_refused, set_up,
+        cmocka_unit_test_setup_teardown(an_old_ticket_is_refused_before_its_keys_expire, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(
+            a_key_without_a_ticket_is_refused_for_two_windows_after_a_start, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(requests_sent_before_a_pause_ended_are_refused, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(a_duplicate_request_is_dropped, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(draining_and_full_agents_refuse_requests, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(a_run_that_did_not_start_releases_its_key, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(a_request_that_comes_twice_is_dropped, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(draining_and_full_agents_refuse, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(a_run_that_did_not_start_frees_its_key, set_up, tear_down),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/router_test.c
+++ b/tests/core/router_test.c
@@ -20,11 +20,11 @@
     bool refuse_sending;
     uint64_t tokens;
     uint32_t ends;
-    struct router_verdict verdict;
+    struct router_result result;
 };
 
-static enum router_send on_forward(void *context, const struct machine *agent,
-                                   Shuntrun__Forward *forward)
+static enum router_send_result on_forward(void *context, const struct machine *agent,
+                                          Shuntrun__Forward *forward)
 {
     struct recorder *recorder = context;
     if (recorder->refuse_sending)
@@ -50,11 +50,11 @@
 }
 
 static void on_end(void *context, uint64_t caller, uint64_t tokens,
-                   const struct router_verdict *verdict)
+                   const struct router_result *result)
 {
     struct recorder *recorder = context;
     recorder->ends++;
-    recorder->verdict = *verdict;
+    recorder->result = *result;
 }
 
 struct fixture {
@@ -138,7 +138,7 @@
     router_on_answer(fixture->router, 20, recorder->agents[recorder->forwards - 1], &message);
 }
 
-static void a_refusal_is_tried_elsewhere_even_when_unrepeatable(void **state)
+static void a_refused_request_is_retried_even_when_unrepeatable(void **state)
 {
     struct fixture *fixture = *state;
     submit(fixture, 1, true);
@@ -148,26 +148,26 @@
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_REFUSED, 0, 0, "");
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_REFUSED, 0, 0, "");
     assert_int_equal(fixture->recorder.ends, 1);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_NOT_RUN);
-    assert_true(fixture->recorder.verdict.retry_after_ms > 0);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_NOT_RUN);
+    assert_true(fixture->recorder.result.retry_after_ms > 0);
 }
 
-static void an_unrepeatable_one_that_may_have_run_is_unknown(void **state)
+static void an_unrepeatable_request_that_may_have_run_is_unknown(void **state)
 {
     struct fixture *fixture = *state;
     submit(fixture, 1, true);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_UNKNOWN, 0, 0, "");
     assert_int_equal(fixture->recorder.forwards, 1);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_UNKNOWN);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_UNKNOWN);
 }
 
-static void what_was_never_sent_did_not_run(void **state)
+static void a_request_that_was_never_sent_has_not_run(void **state)
 {
     struct fixture *fixture = *state;
     fixture->recorder.refuse_sending = true;
     submit(fixture, 1, true);
     assert_int_equal(fixture->recorder.ends, 1);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_NOT_RUN);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_NOT_RUN);
 }
 
 static void a_stalled_stream_resumes_on_the_same_version(void **state)
@@ -184,24 +184,24 @@
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 2, 1, DIGEST_A);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_DONE, 3, 0, DIGEST_A);
     assert_int_equal(fixture->recorder.tokens, 3);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_DONE);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_DONE);
 }
 
-static void a_stream_of_two_versions_or_with_a_gap_is_never_done(void **state)
+static void a_stream_with_mixed_versions_or_a_gap_is_never_done(void **state)
 {
     struct fixture *fixture = *state;
     submit(fixture, 1, true);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 0, 1, DIGEST_A);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 1, 1, DIGEST_B);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_UNKNOWN);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_UNKNOWN);
     submit(fixture, 2, true);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 0, 1, DIGEST_A);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_DONE, 5, 0, DIGEST_A);
     assert_int_equal(fixture->recorder.ends, 2);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_UNKNOWN);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_UNKNOWN);
 }
 
-static void late_doubled_and_foreign_answers_reach_nobody(void **state)
+static void late_duplicate_and_foreign_answers_are_dropped(void **state)
 {
     struct fixture *fixture = *state;
     submit(fixture, 1, false);
@@ -221,7 +221,7 @@
     assert_int_equal(router_counters(fixture->router)->dropped_answers, 3);
 }
 
-static void draining_and_silent_agents_get_nothing(void **state)
+static void draining_and_unreachable_agents_get_no_requests(void **state)
 {
     struct fixture *fixture = *state;
     fixture->agents[0].status.draining = true;
@@ -231,10 +231,10 @@
     for (uint32_t i = 0; i < fixture->recorder.forwards; i++)
         assert_int_equal(fixture->recorder.agents[i], 102);
     submit(fixture, 5, false); /* past the limit of four */
-    assert_int_equal(fixture->recorder.verdict.http_status, 429);
+    assert_int_equal(fixture->recorder.result.http_status, 429);
 }
 
-static void a_restart_of_the_agent_ends_its_attempts(void **state)
+static void an_agent_restart_fails_its_attempts(void **state)
 {
     struct fixture *fixture = *state;
     submit(fixture, 1, true);
@@ -242,26 +242,27 @@
         fixture->agents[i].status.incarnation = 2;
     router_set_view(fixture->router, 30, &fixture->view);
     assert_int_equal(fixture->recorder.ends, 1);
-    assert_int_equal(fixture->recorder.verdict.outcome, OUTCOME_UNKNOWN);
+    assert_int_equal(fixture->recorder.result.outcome, OUTCOME_UNKNOWN);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(a_refusal_is_tried_elsewhere_even_when_unrepeatable, set_up,
+        cmocka_unit_test_setup_teardown(a_refused_request_is_retried_even_when_unrepeatable, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(an_unrepeatable_one_that_may_have_run_is_unknown, set_up,
+        cmocka_unit_test_setup_teardown(an_unrepeatable_request_that_may_have_run_is_unknown,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(a_request_that_was_never_sent_has_not_run, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(what_was_never_sent_did_not_run, set_up, tear_down),
         cmocka_unit_test_setup_teardown(a_stalled_stream_resumes_on_the_same_version, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(a_stream_of_two_versions_or_with_a_gap_is_never_done,
-                                        set_up, tear_down),
-        cmocka_unit_test_setup_teardown(late_doubled_and_foreign_answers_reach_nobody, set_up,
+        cmocka_unit_test_setup_teardown(a_stream_with_mixed_versions_or_a_gap_is_never_done, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(late_duplicate_and_foreign_answers_are_dropped, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(draining_and_silent_agents_get_nothing, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(a_restart_of_the_agent_ends_its_attempts, set_up,
+        cmocka_unit_test_setup_teardown(draining_and_unreachable_agents_get_no_requests, set_up,
                                         tear_down),
+        cmocka_unit_test_setup_teardown(an_agent_restart_fails_its_attempts, set_up, tear_down),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/fuzz/fuzz_message.c
+++ b/tests/fuzz/fuzz_message.c
@@ -30,7 +30,7 @@
 {
 }
 
-static void config_refused(void *context, uint64_t revision, const struct findings *findings)
+static void config_rejected(void *context, uint64_t revision, const struct findings *findings)
 {
 }
 
@@ -47,8 +47,8 @@
 {
 }
 
-static enum router_send forward(void *context, const struct machine *agent,
-                                Shuntrun__Forward *message)
+static enum router_send_result forward(void *context, const struct machine *agent,
+                                       Shuntrun__Forward *message)
 {
     return ROUTER_NOT_SENT;
 }
@@ -67,7 +67,7 @@
 }
 
 static void end(void *context, uint64_t caller, uint64_t tokens,
-                const struct router_verdict *verdict)
+                const struct router_result *verdict)
 {
 }
 
@@ -76,8 +76,8 @@
     static const char list[] = "{\"machines\":[{\"name\":\"a\",\"role\":\"agent\",\"zone\":\"z\","
                                "\"region\":\"r\",\"address\":\"10.0.0.1\"}]}";
     struct node_settings settings = {4, 2, 1000, 1000};
-    struct node_driver node_driver = {NULL,         send_control,   read_document,
-                                      view_changed, config_refused, NULL};
+    struct node_driver node_driver = {NULL,         send_control,    read_document,
+                                      view_changed, config_rejected, NULL};
     struct executor_settings limits = {4, 1000000, 10, 1000000};
     struct executor_driver executor_driver = {NULL, send_answer, start_run, cancel_run};
     struct router_settings router_settings = {10, 10, 1000000, NULL};
