--- a/tests/core/router_test.c
+++ b/tests/core/router_test.c
@@ -17,7 +17,7 @@
     uint64_t agents[64];
     uint32_t forwards;
     uint32_t cancels;
-    bool refuse_sending;
+    bool fail_sending;
     uint64_t tokens;
     uint32_t ends;
     struct router_result result;
@@ -27,7 +27,7 @@
                                           Shuntrun__Forward *forward)
 {
     struct recorder *recorder = context;
-    if (recorder->refuse_sending)
+    if (recorder->fail_sending)
         return ROUTER_NOT_SENT;
     recorder->sequences[recorder->forwards] = forward->sequence;
     recorder->agents[recorder->forwards++] = agent->id;
@@ -164,7 +164,7 @@
 static void a_request_that_was_never_sent_has_not_run(void **state)
 {
     struct fixture *fixture = *state;
-    fixture->recorder.refuse_sending = true;
+    fixture->recorder.fail_sending = true;
     submit(fixture, 1, true);
     assert_int_equal(fixture->recorder.ends, 1);
     assert_int_equal(fixture->recorder.result.outcome, OUTCOME_NOT_RUN);
