--- a/src/core/executor.c
+++ b/src/core/executor.c
@@ -10,24 +10,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUSY_RETRY_AFTER_MS 200
-#define DRAIN_RETRY_AFTER_MS 1000
+#define BUSY_RETRY_AFTER_MS 200   /* if a retry may succeed soon */
+#define DRAIN_RETRY_AFTER_MS 1000 /* while draining, or if the key table is full */
 #define MAX_SERVICES 32
-#define VALID_TICKET_EPOCHS 2 /* a ticket of this many epochs back is void */
+#define VALID_TICKET_EPOCHS 2 /* a ticket is accepted in its own epoch and the next one */
 
 struct run {
     uint64_t id;
-    uint64_t route;
+    uint64_t route; /* opaque reply address */
     uint64_t gateway_incarnation;
     uint64_t sequence;
     uint32_t tenant; /* index in the admission */
     char tenant_name[CONFIG_NAME_SIZE];
-    uint64_t next_offset;
+    uint64_t next_offset;    /* of the next token */
     char *key;               /* owned; NULL without a key */
-    uint8_t *partial_answer; /* tokens so far of a run under a key; owned */
+    uint8_t *partial_answer; /* tokens so far of a run with a key; owned */
     size_t partial_answer_size;
-    bool plain; /* a plain service: one answer, no tokens */
-    bool model_known;
+    bool plain;       /* a plain service: one answer, no tokens */
+    bool model_known; /* `model` is set */
     struct ready_model model;
 };
 
@@ -128,7 +128,8 @@
     return (now - executor->started) / executor->settings.key_window_us;
 }
 
-/* A jump of the clock between events: the process was paused and its input may be old. */
+/* A gap of more than `pause_us` between events: the process was paused, and queued input may be
+ * old. */
 static void detect_pause(struct executor *executor, uint64_t now)
 {
     if (now > executor->last_event && now - executor->last_event > executor->settings.pause_us)
@@ -203,7 +204,7 @@
     free(executor);
 }
 
-/* ---- decisions ---- */
+/* ---- checks before a run ---- */
 
 static const struct service_config *find_service(const struct executor *executor, const char *name)
 {
@@ -227,39 +228,40 @@
     return NULL;
 }
 
-/* What makes the request unfit for this process. \return NULL when it is fit */
+/* \return why the agent in its present state must not run a request, NULL if it may */
 static const char *rejection_reason(const struct executor *executor,
                                     const Shuntrun__Forward *forward)
 {
     if (forward->agent_incarnation != executor->incarnation)
         return "the request is for another incarnation of this agent";
     if (forward->pause_epoch != executor->pause_epoch)
-        return "the request was sent before this agent woke from a pause";
+        return "the request was sent before this agent resumed from a pause";
     if (executor->draining)
         return "this machine is leaving";
     return NULL;
 }
 
-/* Whether a ticket proves that the key cannot have reached an earlier incarnation. */
+/* \return why a ticket does not prove that the key cannot have reached an earlier incarnation, NULL
+ * if it does */
 static const char *ticket_problem(const struct executor *executor, uint64_t now,
                                   const struct service_config *service, const char *key)
 {
     struct ticket ticket;
     if (ticket_parse(key, &ticket) != STATUS_OK) {
-        /* Without a ticket only time helps: wait until no caller asks again. */
+        /* Without a ticket, wait until no caller retries a key of an earlier incarnation. */
         uint64_t window = VALID_TICKET_EPOCHS * executor->settings.key_window_us;
         return now - executor->started >= window
                    ? NULL
                    : "the agent restarted; a key without a ticket cannot be checked yet";
     }
     if (ticket.homes_hash != ticket_homes_hash(service))
-        return "the homes of this service moved since the ticket was given";
+        return "the homes of this service changed since the ticket was issued";
     for (uint32_t i = 0; i < service->machine_count && i < ticket.home_count; i++) {
         if (service->machines[i] != executor->self)
             continue;
         uint64_t epoch = executor_ticket_epoch(executor, now);
         if (ticket.homes[i].incarnation != executor->incarnation)
-            return "the agent restarted since the ticket was given";
+            return "the agent restarted since the ticket was issued";
         if (ticket.homes[i].epoch + VALID_TICKET_EPOCHS <= epoch)
             return "the ticket is too old";
         return NULL;
@@ -301,12 +303,13 @@
     answer.kind = SHUNTRUN__ANSWER_KIND__ANSWER_UNKNOWN;
     answer.replayed = true;
     answer.retry_after_ms = running ? BUSY_RETRY_AFTER_MS : 0;
-    answer.reason = running ? "the first request under this key is running"
-                            : "the answer to this key is not known";
+    answer.reason = running ? "the first request with this key is still running"
+                            : "no answer is stored for this key";
     send_answer(executor, route, forward->gateway_incarnation, forward->sequence, &answer);
 }
 
-/* Checks of an unrepeatable request with a key. \return true when it may start */
+/* Check the key of a request; answers or refuses the request if it must not start.
+ * \return true if it may start */
 static bool admit_key(struct executor *executor, uint64_t now, uint64_t route,
                       const Shuntrun__Forward *forward, const struct service_config *service)
 {
@@ -326,7 +329,7 @@
         return false;
     }
     if (key_table_count(executor->keys) >= executor->settings.key_limit) {
-        reject_request(executor, route, forward, "too many idempotency keys are held",
+        reject_request(executor, route, forward, "too many idempotency keys are stored",
                        DRAIN_RETRY_AFTER_MS);
         return false;
     }
@@ -380,7 +383,7 @@
 {
     detect_pause(executor, now);
     if (!replay_guard_accept(&executor->guard, forward->gateway_incarnation, forward->sequence))
-        return; /* came before: the first one is or will be answered */
+        return; /* a duplicate: the first one is or will be answered */
     const char *problem = rejection_reason(executor, forward);
     if (problem) {
         reject_request(executor, route, forward, problem,
@@ -399,14 +402,15 @@
     bool serves = service->kind == SERVICE_MODEL ? model != NULL
                                                  : strcmp(executor->service, service->name) == 0;
     if (!serves) {
-        reject_request(executor, route, forward, "this machine does not serve that now", 0);
+        reject_request(executor, route, forward,
+                       "this agent does not serve the requested service or model version", 0);
         return;
     }
     if (forward->idempotency_key[0] && !admit_key(executor, now, route, forward, service))
         return;
     uint32_t tenant = admission_find(&executor->admission, forward->tenant);
     if (tenant == ADMISSION_UNKNOWN_TENANT) {
-        reject_request(executor, route, forward, "the tenant is not known", 0);
+        reject_request(executor, route, forward, "unknown tenant", 0);
         return;
     }
     if (executor->run_count >= executor->settings.capacity ||
@@ -419,7 +423,7 @@
 
 /* ---- progress of runs ---- */
 
-/* Keep the tokens of a run under a key, up to a little more than can be kept. */
+/* Buffer the tokens of a run with a key, until they exceed the longest answer that is stored. */
 static void buffer_tokens(struct run *run, const uint8_t *data, size_t size)
 {
     if (run->partial_answer_size > KEY_MAX_ANSWER_SIZE)
@@ -510,7 +514,7 @@
         struct run *run = &executor->runs[i];
         bool same = run->gateway_incarnation == cancel->gateway_incarnation &&
                     run->sequence == cancel->sequence;
-        /* A run under a key goes on: its answer is kept for the caller's next question. */
+        /* A run with a key continues: its answer is stored for a retry of the caller. */
         if (!same || run->key)
             continue;
         executor->driver.cancel(executor->driver.context, run->id);
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -10,14 +10,22 @@
 
 #define MILLISECOND 1000ULL
 #define SECOND 1000000ULL
-#define JOIN_TIMEOUT_US (4 * SECOND)     /* longest wait for neighbours of a new node */
-#define START_JITTER_US (2 * SECOND)     /* first reads of restarted nodes lie so far apart */
-#define CONFIG_PEER_WAIT_US (3 * SECOND) /* a new node that is no reader waits for peers */
-#define PEER_REQUEST_TIMEOUT_US                                                                    \
-    (500 * MILLISECOND)                     /* a peer's answer to a document request is late */
-#define BACKUP_READ_AGE_US (5 * SECOND)     /* unconfirmed for so long: stand-ins read */
-#define BACKUP_READ_STAGGER_US (1 * SECOND) /* and each later rank so much later */
-#define BACKUP_READER_FACTOR 3              /* ranks that may ever read, in readers */
+/* Longest time for which a new node waits for its neighbours before it accepts a configuration. */
+#define JOIN_TIMEOUT_US (4 * SECOND)
+/* The first read of the machine list is delayed by a random time below this, as a whole fleet may
+ * restart at once. */
+#define START_JITTER_US (2 * SECOND)
+/* A new node that is not a reader waits this long for a configuration from its peers, then reads
+ * the platform itself. */
+#define CONFIG_PEER_WAIT_US (3 * SECOND)
+/* A document request that is unanswered for this long may be sent again, to any peer. */
+#define PEER_REQUEST_TIMEOUT_US (500 * MILLISECOND)
+/* Backup readers read a document that nobody has confirmed for this long ... */
+#define BACKUP_READ_AGE_US (5 * SECOND)
+/* ... plus this time for each rank, so that they do not all read at once. */
+#define BACKUP_READ_STAGGER_US (1 * SECOND)
+/* Readers and backup readers together, as a multiple of `config_readers`. */
+#define BACKUP_READER_FACTOR 3
 #define READ_BACKOFF_MIN_US (500 * MILLISECOND)
 #define READ_BACKOFF_MAX_US (8 * SECOND)
 
@@ -93,7 +101,7 @@
     node->driver.send(node->driver.context, &node->fleet.machines[index], message);
 }
 
-/* ---- acceptance ---- */
+/* ---- accepting documents ---- */
 
 static void recompute_placement(struct node *node)
 {
@@ -110,7 +118,8 @@
     findings_clear(&findings);
 }
 
-/* Parse, compile and try out a configuration. \return false with findings */
+/* Parse a configuration, compile its policy and compute a trial placement. \return false when there
+ * are errors, which are in `findings` */
 static bool validate_config(struct node *node, uint64_t revision, const char *body, size_t size,
                             struct fleet_config *config, struct policy **policy,
                             struct findings *findings)
@@ -157,7 +166,7 @@
     node->driver.view_changed(node->driver.context);
 }
 
-/* Place of this node among its zone for reading one document. */
+/* Rank of this node in its zone, by rendezvous hashing, as a reader of one document. */
 static uint32_t reader_rank(const struct node *node, Shuntrun__DocumentKind kind)
 {
     uint64_t own = hash_pair((uint64_t)kind, node->id);
@@ -218,7 +227,8 @@
         store_pending_config(node, revision, body, size);
 }
 
-/* A new node waits until its neighbours told their revisions, as the platform may be stale. */
+/* A new node accepts a configuration only when its neighbours have reported their revisions, or
+ * after JOIN_TIMEOUT_US, as the platform may serve an older one. */
 static void join_if_ready(struct node *node, uint64_t now)
 {
     const struct reader *reader = &node->readers[SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG];
@@ -238,7 +248,7 @@
 
 /* ---- reading the platform ---- */
 
-/* Newest revision that need not be read again: held, refused, or waiting for the join. */
+/* Newest revision that need not be read again: accepted, rejected, or pending until the join. */
 static uint64_t newest_seen_revision(const struct node *node, Shuntrun__DocumentKind kind)
 {
     const struct document *document = &node->readers[kind].document;
@@ -302,7 +312,7 @@
     }
     reader->failures = 0;
     bool stale = result == NODE_READ_NEWER && revision <= newest_seen_revision(node, kind);
-    if (stale) /* a replica of the service that lags; ask again later, it confirms nothing */
+    if (stale) /* a lagging replica of the platform: confirms nothing, so read again later */
         reader->next_read_at = now + READ_BACKOFF_MIN_US;
     else
         reader->confirmed_at = now;
@@ -357,7 +367,8 @@
     request_document_if_newer(node, now, fleet, from, update->fleet_revision);
 }
 
-/* A node that has not joined passes on what it holds, so that news reach all new nodes in time. */
+/* A node that has not joined passes on its pending configuration, so that a new revision reaches
+ * all new nodes in time. */
 uint64_t node_stored_config_revision(const struct node *node)
 {
     const struct reader *reader = &node->readers[SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG];
@@ -427,7 +438,7 @@
         handle_document_reply(node, now, message->document_reply);
         break;
     default:
-        break; /* requests and answers do not come over control links */
+        break; /* requests and answers are not sent over control links */
     }
 }
 
--- a/src/core/node_internal.h
+++ b/src/core/node_internal.h
@@ -9,16 +9,16 @@
 
 #define DOCUMENT_KINDS 2
 
-/* Reading of one document. */
+/* One document, and the state of reading it from the platform and from peers. */
 struct reader {
     struct document document;
-    bool read_in_flight;            /* a read of the platform is out */
-    uint64_t confirmed_at;          /* newest time at which anybody known confirmed it; 0: never */
-    uint64_t next_read_at;          /* not before */
-    uint32_t failures;              /* in a row */
-    uint64_t peer_request_sent_at;  /* last request to a peer */
-    uint32_t rank;                  /* of this node among its zone, for reading the platform */
-    uint64_t newest_known_revision; /* greatest revision heard of */
+    bool read_in_flight;   /* a read of the platform is in progress */
+    uint64_t confirmed_at; /* newest time at which this node or a peer confirmed it; 0: never */
+    uint64_t next_read_at; /* earliest time of the next read of the platform */
+    uint32_t failures;     /* consecutive failed reads */
+    uint64_t peer_request_sent_at;  /* time of the request to a peer in progress; 0: none */
+    uint32_t rank;                  /* of this node among the readers of its zone */
+    uint64_t newest_known_revision; /* greatest revision that a peer reported */
 };
 
 struct node {
@@ -29,18 +29,17 @@
     char zone[FLEET_NAME_SIZE];
     enum machine_role role;
     uint64_t id;
-    uint64_t first_read_at; /* of the machine list; spread, as whole fleets may restart at once */
-    uint64_t fleet_received_at; /* since when there is a machine list */
+    uint64_t first_read_at;     /* earliest read of the machine list, see START_JITTER_US */
+    uint64_t fleet_received_at; /* time of the first machine list */
     struct node_status status;
     struct reader readers[DOCUMENT_KINDS];
-    bool joined; /* neighbours were heard; configurations may be accepted */
-    struct document_version
-        pending_config; /* newest configuration that came before joining; owned */
+    bool joined; /* configurations may be accepted, see join_if_ready() */
+    struct document_version pending_config; /* newest one received before joining; owned */
     struct fleet_config *config;
     struct fleet fleet;
     struct policy *policy;
     struct placement placement;
-    bool has_placement;
+    bool has_placement; /* `placement` is valid */
     struct peer *peers;
     uint32_t peer_count;
     uint64_t *extra_links;
--- a/src/core/node_peers.c
+++ b/src/core/node_peers.c
@@ -7,8 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define JOIN_MIN_PEERS 3            /* neighbours that a new node must have heard */
-#define POLL_INTEREST_US 5000000ULL /* a peer that polled within this time gets news pushed */
+/* Joined links that must have reported before a new node joins, if there are as many. */
+#define JOIN_MIN_PEERS 3
+/* Changes are pushed to peers that have polled this node within this time. */
+#define POLL_INTEREST_US 5000000ULL
+/* Bound of the peer table; further peers are ignored. */
 #define MAX_PEERS 1024
 
 static struct peer *find_peer(const struct node *node, uint64_t id)
@@ -58,7 +61,7 @@
     return alive;
 }
 
-/* Peers that are new themselves know no better than this node and do not count. */
+/* Peers that have not joined do not count: they know no more than this node. */
 bool node_peers_have_reported(const struct node *node)
 {
     uint32_t links = 0;
@@ -72,7 +75,7 @@
 
 /* ---- links ---- */
 
-/* Regions by first appearance in the machine list. */
+/* A region is identified by the index of its first machine in the machine list. */
 static uint16_t region_index(const struct fleet *fleet, const char *region)
 {
     for (uint32_t i = 0; i < fleet->count; i++)
@@ -229,7 +232,7 @@
     }
 }
 
-/* Tell news at once to links and to those who poll this node. */
+/* Push an update to the links and to the peers that poll this node, without waiting for a poll. */
 void node_peers_push(struct node *node, uint64_t now)
 {
     for (uint32_t i = 0; i < node->peer_count; i++) {
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -9,10 +9,10 @@
 #include <string.h>
 
 #define MAX_REQUEST_ATTEMPTS 6
-#define OVERLOAD_RETRY_AFTER_MS 500
-#define NO_AGENT_RETRY_AFTER_MS 1000
-#define CALLER_PRIORITY_LEVELS                                                                     \
-    10 /* that callers may ask for; a tenant's precedence goes before them */
+#define OVERLOAD_RETRY_AFTER_MS 500  /* if the tenant limit or the retry budget is exhausted */
+#define NO_AGENT_RETRY_AFTER_MS 1000 /* if no agent or no configuration is available */
+/* Priorities that a caller may set: 0 to 9. The precedence of the tenant ranks above them. */
+#define CALLER_PRIORITY_LEVELS 10
 
 struct router *router_create(const struct router_settings *settings, uint64_t incarnation,
                              uint64_t seed, const struct router_driver *driver)
@@ -109,7 +109,7 @@
     router->counters.replayed += result->replayed;
 }
 
-/* The attempt is over for this gateway, whatever becomes of it. */
+/* Stop tracking the attempt; it may still be running on the agent. */
 static void end_attempt(struct router *router, struct request *request)
 {
     if (!request->sequence)
@@ -181,8 +181,8 @@
     finish_request(router, request, &result);
 }
 
-/* Start an attempt; ends the request when no agent can take it. `reason` tells why the last one
- * failed, "" for a first attempt. */
+/* Start an attempt; fails the request if no agent is eligible. `reason` and `retry_after_ms` are
+ * those of the failed attempt before, "" and 0 for a first attempt. */
 static void start_attempt(struct router *router, uint64_t now, struct request *request,
                           const char *reason, uint32_t retry_after_ms)
 {
@@ -207,8 +207,7 @@
     }
     if (!retry_after_ms)
         retry_after_ms = NO_AGENT_RETRY_AFTER_MS;
-    fail_request(router, request, reason[0] ? reason : "no replica can take the request now",
-                 retry_after_ms);
+    fail_request(router, request, reason[0] ? reason : "no replica is available", retry_after_ms);
 }
 
 static void retry_request(struct router *router, uint64_t now, struct request *request,
@@ -225,7 +224,7 @@
     start_attempt(router, now, request, reason, retry_after_ms);
 }
 
-/* The attempt may have run: go on only when the request may be repeated. */
+/* End an attempt that may have run: retry only if the request is repeatable. */
 static void fail_attempt(struct router *router, uint64_t now, struct request *request,
                          const char *reason, uint32_t retry_after_ms)
 {
@@ -240,7 +239,7 @@
         retry_request(router, now, request, reason, retry_after_ms);
 }
 
-/* ---- entry of requests ---- */
+/* ---- submission ---- */
 
 static struct request *create_request(uint64_t now, uint64_t caller, uint32_t tenant,
                                       const struct router_request *from)
@@ -260,7 +259,8 @@
     return request;
 }
 
-/* Refusals of unknown names are not counted under them: callers could make up any number. */
+/* `request` is NULL if its service or tenant is unknown: then the rejection is not counted under
+ * their names, as callers could create any number of rows. */
 static void reject_request(struct router *router, uint64_t caller,
                            const struct router_request *request, unsigned http_status,
                            const char *reason, uint32_t retry_after_ms)
@@ -286,7 +286,7 @@
 {
     router->counters.submitted++;
     if (!router->view) {
-        reject_request(router, caller, NULL, 503, "no configuration is in force yet",
+        reject_request(router, caller, NULL, 503, "no configuration has been accepted yet",
                        NO_AGENT_RETRY_AFTER_MS);
         return;
     }
@@ -345,7 +345,7 @@
     router->driver.begin(router->driver.context, request->caller, &model);
 }
 
-/* An answer made with another version must not be joined to what was already given. */
+/* A stream must not mix tokens of different model versions. */
 static bool version_differs(const struct request *request, const Shuntrun__Answer *answer)
 {
     return request->next_offset && strcmp(request->digest, answer->digest) != 0;
@@ -355,12 +355,12 @@
                       const Shuntrun__Answer *answer)
 {
     if (answer->offset + answer->token_count <= request->next_offset && answer->token_count) {
-        router->counters.dropped_answers++; /* came twice */
+        router->counters.dropped_answers++; /* duplicate */
         return;
     }
     if (answer->offset != request->next_offset || version_differs(request, answer)) {
         cancel_attempt(router, request);
-        fail_attempt(router, now, request, "the stream broke", 0);
+        fail_attempt(router, now, request, "the token stream has a gap or changed its version", 0);
         return;
     }
     report_first_answer(router, now, request, answer);
@@ -376,7 +376,8 @@
     bool stream = answer->digest[0] != 0;
     if (stream && (answer->offset != request->next_offset || version_differs(request, answer))) {
         cancel_attempt(router, request);
-        fail_attempt(router, now, request, "the stream ended early", 0);
+        fail_attempt(router, now, request,
+                     "the token stream ended incomplete or with another version", 0);
         return;
     }
     router_record_success(router, request->agent);
@@ -428,7 +429,7 @@
     }
 }
 
-/* ---- time and views ---- */
+/* ---- timeouts and routing views ---- */
 
 static bool agent_restarted(const struct router *router, const struct request *request)
 {
@@ -456,7 +457,7 @@
 
 void router_on_tick(struct router *router, uint64_t now)
 {
-    /* Ending a request moves the last one to its place: go backwards. */
+    /* Backwards, as removing a request moves the last one to its index. */
     for (uint32_t i = router->request_count; i-- > 0;)
         if (i < router->request_count)
             check_request_timeouts(router, now, router->requests[i]);
--- a/src/core/router_agents.c
+++ b/src/core/router_agents.c
@@ -1,5 +1,5 @@
 /**
- * What a gateway saw of agents, and the choice of one for a request.
+ * Health of agents as observed by a gateway, and the choice of an agent for a request.
  */
 #include "core/router_internal.h"
 
@@ -7,11 +7,11 @@
 
 #include <string.h>
 
-#define EJECTION_FAILURE_THRESHOLD 3 /* failures in a row that eject an agent */
-#define EJECTION_MIN_US 500000ULL    /* first ejection, microseconds; doubles */
+#define EJECTION_FAILURE_THRESHOLD 3 /* consecutive failures that eject an agent */
+#define EJECTION_MIN_US 500000ULL    /* first ejection; doubles with each further one */
 #define EJECTION_MAX_US 16000000ULL
-#define TOKEN_TIME_AVERAGE_TOKENS                                                                  \
-    64ULL /* tokens over which the mean time between tokens is taken */
+/* Samples over which the moving average of the time between tokens is taken. */
+#define TOKEN_TIME_AVERAGE_TOKENS 64ULL
 
 struct agent_record *router_get_agent_record(struct router *router, uint64_t id)
 {
@@ -25,7 +25,7 @@
     return record;
 }
 
-/* ---- health of agents as this gateway sees it ---- */
+/* ---- passive health checks ---- */
 
 void router_record_failure(struct router *router, uint64_t now, uint64_t agent)
 {
@@ -36,7 +36,8 @@
     if (record->ejection_us > EJECTION_MAX_US)
         record->ejection_us = EJECTION_MAX_US;
     record->ejected_until = now + record->ejection_us;
-    record->failures = EJECTION_FAILURE_THRESHOLD - 1; /* one probe decides after the ejection */
+    /* After the ejection a single further failure ejects the agent again. */
+    record->failures = EJECTION_FAILURE_THRESHOLD - 1;
 }
 
 void router_record_success(struct router *router, uint64_t agent)
@@ -57,6 +58,8 @@
     return false;
 }
 
+/* Agents that have failed, are ejected or drain are not eligible, nor is another model version than
+ * that of a stream to resume. */
 static bool is_eligible(struct router *router, uint64_t now, const struct request *request,
                         const struct route_service *service, const struct route_agent *agent)
 {
@@ -95,7 +98,7 @@
 int64_t router_choose_agent(struct router *router, uint64_t now, const struct request *request,
                             const struct route_service *service)
 {
-    if (request->key[0]) {
+    if (request->key[0]) { /* only the home of a key can tell whether it has run */
         int64_t home =
             routing_view_find_agent(router->view, service_home(&service->homes, request->key));
         if (home < 0 || is_excluded(request, router->view->agents[home].id))
--- a/src/core/router_internal.h
+++ b/src/core/router_internal.h
@@ -1,5 +1,6 @@
 /**
- * State of a router, shared by router.c (requests) and router_agents.c (choice of agents).
+ * State of a router, shared by router.c (requests) and router_agents.c (health and choice of
+ * agents).
  */
 #ifndef SHUNTRUN_ROUTER_INTERNAL_H
 #define SHUNTRUN_ROUTER_INTERNAL_H
@@ -12,38 +13,38 @@
 
 struct request {
     uint64_t caller;
-    uint64_t sequence; /* of the present attempt */
-    uint64_t agent;
+    uint64_t sequence; /* of the attempt in progress; 0: none */
+    uint64_t agent;    /* of the last attempt */
     uint64_t agent_incarnation;
     uint64_t arrived;
     uint64_t deadline;
-    uint64_t last_progress;
-    uint32_t tenant;
+    uint64_t last_progress; /* time of the last answer, or of the start of the attempt */
+    uint32_t tenant;        /* index in the admission, or ADMISSION_UNKNOWN_TENANT */
     char tenant_name[CONFIG_NAME_SIZE];
     char service[CONFIG_NAME_SIZE];
-    char digest[DIGEST_HEX_SIZE]; /* version that this answer is made with; "" before the first */
+    char digest[DIGEST_HEX_SIZE]; /* model version of the answer; "" before the first answer */
     char *key;
     uint8_t *body;
     size_t body_size;
     bool unrepeatable;
-    bool begin_reported;
+    bool begin_reported; /* driver.begin() was called */
     bool may_have_run;
     uint32_t priority;
-    uint32_t precedence; /* of the tenant, by policy */
+    uint32_t precedence; /* of the tenant, set by the policy */
     uint32_t attempts;
-    uint64_t next_offset;
-    uint64_t excluded[MAX_EXCLUDED_AGENTS]; /* agents that failed or refused this request */
+    uint64_t next_offset;                   /* of the next token; the number of tokens delivered */
+    uint64_t excluded[MAX_EXCLUDED_AGENTS]; /* ids of agents that failed or refused this request */
     uint32_t excluded_count;
 };
 
-/* What this gateway saw of one agent. */
+/* Health and load of one agent as observed by this gateway. */
 struct agent_record {
     uint64_t id;
     uint32_t in_flight;
-    uint32_t failures;
-    uint32_t token_us; /* mean time between tokens of one stream */
-    uint64_t ejection_us;
-    uint64_t ejected_until;
+    uint32_t failures;    /* consecutive */
+    uint32_t token_us;    /* moving average of the time between tokens of one stream; 0: unknown */
+    uint64_t ejection_us; /* length of the last ejection; 0: none since the last success */
+    uint64_t ejected_until; /* 0: not ejected */
 };
 
 struct router {
@@ -65,12 +66,16 @@
 };
 
 /* router_agents.c */
+/* The record of an agent, added if it is new; valid until another one is added. */
 struct agent_record *router_get_agent_record(struct router *router, uint64_t id);
+/* Count a failed attempt; consecutive failures eject the agent. */
 void router_record_failure(struct router *router, uint64_t now, uint64_t agent);
+/* Reset the failures and end the ejection of an agent. */
 void router_record_success(struct router *router, uint64_t agent);
+/* Add `tokens` received after `elapsed` microseconds to the time between tokens. */
 void router_record_token_time(struct router *router, uint64_t agent, uint64_t elapsed,
                               uint32_t tokens);
-/** \return index in the view of the agent that should take the request, -1 when none can */
+/* Choose an agent. \return its index in the view, -1 if no agent is eligible */
 int64_t router_choose_agent(struct router *router, uint64_t now, const struct request *request,
                             const struct route_service *service);
 
--- a/src/core/routing_view.c
+++ b/src/core/routing_view.c
@@ -28,7 +28,8 @@
     (*ids)[(*count)++] = id;
 }
 
-/* Former holders stay candidates while they are still ready, so that a rollout loses nobody. */
+/* Agents that are no longer targets of a model stay candidates while they are ready, so that
+ * requests still find replicas during a rollout. */
 static bool is_ready_for_any_model(const struct peer *peer, const struct fleet_config *config)
 {
     for (uint32_t i = 0; i < peer->status.ready_count; i++)
--- a/tests/core/executor_test.c
+++ b/tests/core/executor_test.c
@@ -10,7 +10,7 @@
 
 #define SELF 7
 #define INCARNATION 5
-#define WINDOW 1000000ULL
+#define WINDOW 1000000ULL /* length of a ticket epoch, microseconds */
 
 struct recorder {
     Shuntrun__AnswerKind kind;
@@ -125,7 +125,7 @@
 {
     struct fixture *fixture = *state;
     send_key(fixture, 10, "k");
-    send_key(fixture, 11, "k"); /* while it runs */
+    send_key(fixture, 11, "k"); /* while the first request runs */
     assert_int_equal(fixture->recorder.kind, SHUNTRUN__ANSWER_KIND__ANSWER_UNKNOWN);
     finish(fixture, 12);
     send_key(fixture, 13, "k");
@@ -159,7 +159,7 @@
         uint32_t starts = fixture->recorder.starts;
         executor_on_tick(fixture->executor, now);
         send_key(fixture, now, "k");
-        assert_int_equal(fixture->recorder.starts, starts); /* kept or refused, never run */
+        assert_int_equal(fixture->recorder.starts, starts); /* replayed or refused, never run */
     }
     assert_non_null(strstr(fixture->recorder.reason, "too old"));
 }
--- a/tests/core/router_test.c
+++ b/tests/core/router_test.c
@@ -11,7 +11,7 @@
 #define DIGEST_A "aaaa"
 #define DIGEST_B "bbbb"
 
-/* What the router asked its shell to do, and what callers were told. */
+/* Records the calls of the driver: attempts sent to agents, and what callers received. */
 struct recorder {
     uint64_t sequences[64];
     uint64_t agents[64];
@@ -120,7 +120,7 @@
     router_submit(fixture->router, 10, caller, &request);
 }
 
-/* Answer the newest attempt. */
+/* Process an answer to the last attempt that was sent. */
 static void answer(struct fixture *fixture, Shuntrun__AnswerKind kind, uint64_t offset,
                    uint32_t count, const char *digest)
 {
@@ -173,14 +173,14 @@
 static void a_stalled_stream_resumes_on_the_same_version(void **state)
 {
     struct fixture *fixture = *state;
-    fixture->agents[2].alive = false; /* the first attempt goes to version A */
+    fixture->agents[2].alive = false; /* so the first attempt goes to version A */
     submit(fixture, 1, false);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 0, 2, DIGEST_A);
     fixture->agents[2].alive = true;
     router_on_tick(fixture->router, 20 + 1000000);
     assert_int_equal(fixture->recorder.cancels, 1);
     assert_int_equal(fixture->recorder.forwards, 2);
-    assert_true(fixture->recorder.agents[1] < 102);
+    assert_true(fixture->recorder.agents[1] < 102); /* not the agent of version B */
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_TOKENS, 2, 1, DIGEST_A);
     answer(fixture, SHUNTRUN__ANSWER_KIND__ANSWER_DONE, 3, 0, DIGEST_A);
     assert_int_equal(fixture->recorder.tokens, 3);
@@ -230,7 +230,7 @@
         submit(fixture, caller, false);
     for (uint32_t i = 0; i < fixture->recorder.forwards; i++)
         assert_int_equal(fixture->recorder.agents[i], 102);
-    submit(fixture, 5, false); /* past the limit of four */
+    submit(fixture, 5, false); /* exceeds request_limit */
     assert_int_equal(fixture->recorder.result.http_status, 429);
 }
 
