--- a/src/agent/rollout.c
+++ b/src/agent/rollout.c
@@ -144,7 +144,7 @@
     for (uint32_t chunk = 0; chunk < rollout->manifest.chunk_count; chunk++) {
         if (!blob_store_has(rollout->store, &rollout->manifest.chunks[chunk]))
             continue;
-        swarm_hold(rollout->swarm, chunk);
+        swarm_mark_held(rollout->swarm, chunk);
         shared++;
     }
     log_event(LOG_LEVEL_INFO, "rollout", "started", "model=%s version=%s chunks=%u held=%u",
@@ -163,12 +163,12 @@
         .upload_limit = (uint32_t)settings->upload_limit,
         .neighbours = (uint32_t)settings->neighbours,
         .announce_us = settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND / UPDATE_DIVISOR,
-        .silence_us = settings->suspect_after_ms * MICROSECONDS_PER_MILLISECOND,
+        .neighbour_timeout_us = settings->suspect_after_ms * MICROSECONDS_PER_MILLISECOND,
         .chunk_timeout_us = 2 * settings->chunk_timeout_ms * MICROSECONDS_PER_MILLISECOND,
         .busy_backoff_us = 20 * MICROSECONDS_PER_MILLISECOND,
         .origin_copy_us = step_us,
-        .origin_step_us = step_us,
-        .join_hold_us = settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND,
+        .origin_rank_delay_us = step_us,
+        .join_delay_us = settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND,
     };
     uint64_t key = hash_bytes(rollout->model.manifest.bytes, DIGEST_SIZE);
     uint64_t self = node_id(rollout->shell->node);
--- a/src/core/relay_plan.c
+++ b/src/core/relay_plan.c
@@ -7,11 +7,11 @@
 #include <string.h>
 
 /** Relays of a region, if it has so many gateways: one may fail. */
-#define RELAYS_LEAST 2
+#define MIN_RELAYS_PER_REGION 2
 /** Rate of the relays' links, in hundredths of what the region's loaders can take: what is left
  * over is for the requests of clients. More relays are not better: each takes a whole copy from the
  * others, and slow ones among them held up a region of 41 loaders for 1.5 s. */
-#define FEED_PERCENT 150
+#define RELAY_CAPACITY_PERCENT 150
 /** Stands for the manifest where others have the number of a piece. */
 #define MANIFEST_KEY UINT64_MAX
 
@@ -23,47 +23,48 @@
 };
 
 struct candidate_list {
-    struct candidate items[RELAY_REGION_MOST];
+    struct candidate items[RELAY_MAX_PER_REGION];
     uint32_t count;
 };
 
-static bool goes_before(const struct candidate *left, const struct candidate *right)
+static bool ranks_before(const struct candidate *left, const struct candidate *right)
 {
     if (left->link_mbit != right->link_mbit)
         return left->link_mbit > right->link_mbit;
     return left->weight > right->weight;
 }
 
-static void insert(struct candidate_list *list, const struct candidate *candidate)
+static void insert_candidate(struct candidate_list *list, const struct candidate *candidate)
 {
     uint32_t place = list->count;
-    while (place > 0 && goes_before(candidate, &list->items[place - 1]))
+    while (place > 0 && ranks_before(candidate, &list->items[place - 1]))
         place--;
-    if (place == RELAY_REGION_MOST)
+    if (place == RELAY_MAX_PER_REGION)
         return;
-    uint32_t moved = list->count < RELAY_REGION_MOST ? list->count : RELAY_REGION_MOST - 1;
-    memmove(&list->items[place + 1], &list->items[place], (moved - place) * sizeof *candidate);
+    uint32_t new_count =
+        list->count < RELAY_MAX_PER_REGION ? list->count : RELAY_MAX_PER_REGION - 1;
+    memmove(&list->items[place + 1], &list->items[place], (new_count - place) * sizeof *candidate);
     list->items[place] = *candidate;
-    list->count = moved + 1;
+    list->count = new_count + 1;
 }
 
-static bool may_relay(const struct member_state *member, const char *region)
+static bool is_relay_candidate(const struct member_state *member, const char *region)
 {
     return member->role == MEMBER_GATEWAY && member_is_healthy(member) && !member->draining &&
            strcmp(member->region, region) == 0;
 }
 
-static void consider(struct candidate_list *list, const struct member_state *member,
-                     const char *region, uint64_t rollout)
+static void add_candidate(struct candidate_list *list, const struct member_state *member,
+                          const char *region, uint64_t rollout)
 {
-    if (!may_relay(member, region))
+    if (!is_relay_candidate(member, region))
         return;
     struct candidate candidate = {member->address, member->link_mbit,
                                   hash_pair(rollout, member->address)};
-    insert(list, &candidate);
+    insert_candidate(list, &candidate);
 }
 
-static uint64_t demand_of_member(const struct member_state *member, const char *region)
+static uint64_t loader_demand(const struct member_state *member, const char *region)
 {
     bool takes = member->role == MEMBER_LOADER && member_is_alive(member) &&
                  strcmp(member->region, region) == 0;
@@ -71,24 +72,24 @@
 }
 
 /* Rate at which the loaders of a region can take pieces, Mbit/s. */
-static uint64_t demand_of(struct membership *membership, const char *region)
+static uint64_t region_demand(struct membership *membership, const char *region)
 {
-    uint64_t demand = demand_of_member(membership_self(membership), region);
+    uint64_t demand = loader_demand(membership_self(membership), region);
     for (uint32_t i = 0; i < membership_count(membership); i++)
-        demand += demand_of_member(membership_at(membership, i), region);
+        demand += loader_demand(membership_at(membership, i), region);
     return demand;
 }
 
 static void add_region(struct relay_plan *plan, struct membership *membership, const char *region)
 {
     struct candidate_list list = {.count = 0};
-    consider(&list, membership_self(membership), region, plan->rollout);
+    add_candidate(&list, membership_self(membership), region, plan->rollout);
     for (uint32_t i = 0; i < membership_count(membership); i++)
-        consider(&list, membership_at(membership, i), region, plan->rollout);
-    uint64_t demand = FEED_PERCENT * demand_of(membership, region) / 100;
+        add_candidate(&list, membership_at(membership, i), region, plan->rollout);
+    uint64_t demand = RELAY_CAPACITY_PERCENT * region_demand(membership, region) / 100;
     uint64_t supply = 0;
-    for (uint32_t i = 0; i < list.count && plan->count < RELAY_PLAN_MOST; i++) {
-        if (i >= RELAYS_LEAST && supply >= demand)
+    for (uint32_t i = 0; i < list.count && plan->count < RELAY_PLAN_MAX_RELAYS; i++) {
+        if (i >= MIN_RELAYS_PER_REGION && supply >= demand)
             return;
         struct relay *relay = &plan->relays[plan->count++];
         relay->address = list.items[i].address;
@@ -107,7 +108,7 @@
     return false;
 }
 
-static void choose_loaders(struct relay_plan *plan, struct membership *membership)
+static void choose_fallback_loaders(struct relay_plan *plan, struct membership *membership)
 {
     uint64_t best[2] = {0, 0};
     plan->loaders[0] = plan->loaders[1] = 0;
@@ -138,15 +139,15 @@
         if (strcmp(region, plan->region) != 0 && !has_region(plan, region))
             add_region(plan, membership, region);
     }
-    choose_loaders(plan, membership);
+    choose_fallback_loaders(plan, membership);
 }
 
-uint64_t relay_plan_weight(const struct relay_plan *plan, uint32_t piece)
+uint64_t relay_plan_piece_priority(const struct relay_plan *plan, uint32_t piece)
 {
     return hash_pair(hash_pair(plan->rollout, piece), plan->self);
 }
 
-bool relay_plan_has_self(const struct relay_plan *plan)
+bool relay_plan_includes_self(const struct relay_plan *plan)
 {
     for (uint32_t i = 0; i < plan->count; i++)
         if (plan->relays[i].address == plan->self)
@@ -154,17 +155,17 @@
     return false;
 }
 
-static void add(struct relay_sources *sources, uint32_t address)
+static void add_source(struct relay_sources *sources, uint32_t address)
 {
     for (uint32_t i = 0; i < sources->count; i++)
         if (sources->addresses[i] == address)
             return;
-    if (sources->count < RELAY_SOURCES_MOST)
+    if (sources->count < RELAY_MAX_SOURCES)
         sources->addresses[sources->count++] = address;
 }
 
 /* Rendezvous weight: the greatest one is at each relay as often as its link's share says. */
-static double weight_of(const struct relay *relay, uint64_t key)
+static double relay_rendezvous_weight(const struct relay *relay, uint64_t key)
 {
     /* In (0, 1): neither end can come. */
     double uniform = ((double)(hash_pair(key, relay->address) >> 12) + 0.5) / (double)(1ULL << 52);
@@ -172,8 +173,8 @@
 }
 
 /* Add the relays of one region, or of all others, by rendezvous weight for a key. */
-static void add_ranked(const struct relay_plan *plan, uint64_t key, const char *region, bool others,
-                       struct relay_sources *sources)
+static void add_by_rendezvous_weight(const struct relay_plan *plan, uint64_t key,
+                                     const char *region, bool others, struct relay_sources *sources)
 {
     double before = INFINITY;
     for (;;) {
@@ -181,17 +182,17 @@
         double best_weight = 0;
         for (uint32_t i = 0; i < plan->count; i++) {
             const struct relay *relay = &plan->relays[i];
-            double weight = weight_of(relay, key);
+            double weight = relay_rendezvous_weight(relay, key);
             bool fits = (strcmp(relay->region, region) == 0) != others;
             if (fits && weight < before && (!best || weight > best_weight)) {
                 best = relay;
                 best_weight = weight;
             }
         }
-        if (!best || sources->count == RELAY_SOURCES_MOST)
+        if (!best || sources->count == RELAY_MAX_SOURCES)
             return;
         if (best->address != plan->self)
-            add(sources, best->address);
+            add_source(sources, best->address);
         before = best_weight;
     }
 }
@@ -201,19 +202,19 @@
 {
     sources->count = 0;
     uint64_t key = hash_pair(plan->rollout, plan->self);
-    add_ranked(plan, key, plan->region, false, sources);
-    sources->near = sources->count;
-    add_ranked(plan, key, plan->region, true, sources);
+    add_by_rendezvous_weight(plan, key, plan->region, false, sources);
+    sources->same_region_count = sources->count;
+    add_by_rendezvous_weight(plan, key, plan->region, true, sources);
     if (!origin)
         return;
-    if (sources->count == RELAY_SOURCES_MOST)
+    if (sources->count == RELAY_MAX_SOURCES)
         sources->count--;
-    add(sources, RELAY_ORIGIN);
+    add_source(sources, RELAY_ORIGIN);
 }
 
 /* \return the relay of greatest weight for a piece, of one region or of all (NULL) */
-static const struct relay *first_for(const struct relay_plan *plan, uint64_t key,
-                                     const char *region, bool reads_origin)
+static const struct relay *top_ranked_relay(const struct relay_plan *plan, uint64_t key,
+                                            const char *region, bool reads_origin)
 {
     const struct relay *best = NULL;
     for (uint32_t i = 0; i < plan->count; i++) {
@@ -221,39 +222,39 @@
         if ((region && strcmp(relay->region, region) != 0) ||
             (reads_origin && !relay->reads_origin))
             continue;
-        if (!best || weight_of(relay, key) > weight_of(best, key))
+        if (!best || relay_rendezvous_weight(relay, key) > relay_rendezvous_weight(best, key))
             best = relay;
     }
     return best;
 }
 
 /* Room for the origin and two loaders is kept. */
-static void trim(struct relay_sources *sources)
+static void reserve_fallback_sources(struct relay_sources *sources)
 {
-    if (sources->count > RELAY_SOURCES_MOST - 3)
-        sources->count = RELAY_SOURCES_MOST - 3;
+    if (sources->count > RELAY_MAX_SOURCES - 3)
+        sources->count = RELAY_MAX_SOURCES - 3;
 }
 
 void relay_plan_relay_sources(const struct relay_plan *plan, uint32_t piece,
                               struct relay_sources *sources)
 {
     uint64_t key = hash_pair(plan->rollout, piece);
-    const struct relay *reader = first_for(plan, key, NULL, true);
-    const struct relay *importer = first_for(plan, key, plan->region, false);
-    sources->count = sources->near = 0;
+    const struct relay *reader = top_ranked_relay(plan, key, NULL, true);
+    const struct relay *region_relay = top_ranked_relay(plan, key, plan->region, false);
+    sources->count = sources->same_region_count = 0;
     if (!reader || reader->address == plan->self) {
-        add(sources, RELAY_ORIGIN);
+        add_source(sources, RELAY_ORIGIN);
     } else {
-        bool imports = !importer || importer->address == plan->self;
+        bool is_region_relay = !region_relay || region_relay->address == plan->self;
         bool near = strcmp(reader->region, plan->region) == 0;
-        add(sources, imports || near ? reader->address : importer->address);
+        add_source(sources, is_region_relay || near ? reader->address : region_relay->address);
     }
-    add_ranked(plan, key, plan->region, false, sources);
-    trim(sources);
-    add(sources, RELAY_ORIGIN);
+    add_by_rendezvous_weight(plan, key, plan->region, false, sources);
+    reserve_fallback_sources(sources);
+    add_source(sources, RELAY_ORIGIN);
     for (uint32_t i = 0; i < 2; i++)
         if (plan->loaders[i])
-            add(sources, plan->loaders[i]);
+            add_source(sources, plan->loaders[i]);
 }
 
 /*
@@ -263,10 +264,12 @@
 void relay_plan_manifest_sources(const struct relay_plan *plan, struct relay_sources *sources)
 {
     uint64_t key = hash_pair(plan->rollout, MANIFEST_KEY);
-    const struct relay *asker = first_for(plan, key, plan->region, true);
-    sources->count = sources->near = 0;
-    add(sources, !asker || asker->address == plan->self ? RELAY_ORIGIN : asker->address);
-    add_ranked(plan, key, plan->region, false, sources);
-    trim(sources);
-    add(sources, RELAY_ORIGIN);
+    const struct relay *manifest_reader = top_ranked_relay(plan, key, plan->region, true);
+    sources->count = sources->same_region_count = 0;
+    add_source(sources, !manifest_reader || manifest_reader->address == plan->self
+                            ? RELAY_ORIGIN
+                            : manifest_reader->address);
+    add_by_rendezvous_weight(plan, key, plan->region, false, sources);
+    reserve_fallback_sources(sources);
+    add_source(sources, RELAY_ORIGIN);
 }
--- a/src/core/relay_plan.h
+++ b/src/core/relay_plan.h
@@ -18,14 +18,14 @@
 
 /** Relays of one region at most, the fastest ones: they feed 1,300 loaders of 9.4 Mbit/s at the
  * rate of their links, if theirs are of 200 Mbit/s. */
-#define RELAY_REGION_MOST 64
+#define RELAY_MAX_PER_REGION 64
 /** Relays of all regions together at most: of eight regions of any size, of more where they are
  * smaller. */
-#define RELAY_PLAN_MOST 512
+#define RELAY_PLAN_MAX_RELAYS 512
 /** Names the origin among sources; no member has this address. */
 #define RELAY_ORIGIN 0U
 /** Sources of one piece at most. */
-#define RELAY_SOURCES_MOST 16
+#define RELAY_MAX_SOURCES 16
 
 struct relay {
     uint32_t address;
@@ -38,25 +38,25 @@
     uint64_t rollout; /**< key of the version */
     uint32_t self;
     char region[MEMBER_NAME_SIZE]; /**< of this node */
-    struct relay relays[RELAY_PLAN_MOST];
+    struct relay relays[RELAY_PLAN_MAX_RELAYS];
     uint32_t count;
     uint32_t loaders[2]; /**< of this region, for relays that find a piece nowhere else; 0: none */
 };
 
 /** Sources of a piece, the best one first. */
 struct relay_sources {
-    uint32_t addresses[RELAY_SOURCES_MOST];
+    uint32_t addresses[RELAY_MAX_SOURCES];
     uint32_t count;
-    uint32_t
-        near; /**< the first ones, relays of the own region that may share the work; for loaders */
+    uint32_t same_region_count; /**< the first ones, relays of the own region that may share the
+                                   work; for loaders */
 };
 
 /** \brief Compute the relays from the present members. \param rollout key of the version */
 void relay_plan_refresh(struct relay_plan *plan, struct membership *membership, uint64_t rollout);
 /** \return by which of its pieces this node begins, greatest first: other nodes begin by others */
-uint64_t relay_plan_weight(const struct relay_plan *plan, uint32_t piece);
+uint64_t relay_plan_piece_priority(const struct relay_plan *plan, uint32_t piece);
 /** \return whether this node is a relay */
-bool relay_plan_has_self(const struct relay_plan *plan);
+bool relay_plan_includes_self(const struct relay_plan *plan);
 /**
  * \brief Where a loader takes pieces from: relays of its region, then those of others.
  * \param origin whether to name the origin as the last resort
--- a/src/core/swarm.c
+++ b/src/core/swarm.c
@@ -7,15 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CORRUPT_STRIKES 3        /* corrupt chunks after which a peer may be avoided */
-#define CORRUPT_SHARE 10         /* and only when it is more than one in so many */
-#define CORRUPT_PAUSE_SILENCES 8 /* an avoided peer is tried again after so many silence times */
-#define TIMEOUT_MEANS 8          /* a request is given up after so many mean chunk times */
-#define ENDGAME_TIMEOUT_MEANS 4
-#define RAREST_SAMPLE 256   /* chunks looked at for the rarest; bounds the work of one choice */
-#define MAX_BACKOFF_STEPS 3 /* a busy peer's pause doubles so often */
-#define FAR_REGION_COST 2   /* cost of a peer in half queued chunks */
-#define FAR_ZONE_COST 1
+#define CORRUPT_MIN_CHUNKS 3 /* corrupt chunks after which a peer may be avoided */
+#define CORRUPT_RATIO 10     /* and only when it is more than one in so many */
+#define CORRUPT_BACKOFF_TIMEOUTS                                                                   \
+    8                            /* an avoided peer is tried again after so many silence times     \
+                                  */
+#define TIMEOUT_MEAN_DURATIONS 8 /* a request is given up after so many mean chunk times */
+#define ENDGAME_TIMEOUT_MEAN_DURATIONS 4
+#define RAREST_SAMPLE_CHUNKS                                                                       \
+    256                         /* chunks looked at for the rarest; bounds the work of one choice */
+#define MAX_BACKOFF_DOUBLINGS 3 /* a busy peer's pause doubles so often */
+#define OTHER_REGION_COST 2     /* cost of a peer in half queued chunks */
+#define OTHER_ZONE_COST 1
 
 /* ---- construction ---- */
 
@@ -50,8 +53,8 @@
     free(swarm->open);
     free(swarm->availability);
     free(swarm->arrivals);
-    free(swarm->duties);
-    free(swarm->suspects);
+    free(swarm->assignments);
+    free(swarm->unresponsive);
     free(swarm);
 }
 
@@ -63,7 +66,7 @@
     swarm->arrivals[swarm->held++] = chunk;
 }
 
-void swarm_hold(struct swarm *swarm, uint32_t chunk)
+void swarm_mark_held(struct swarm *swarm, uint32_t chunk)
 {
     if (!bitmap_get(swarm->have, chunk))
         add_chunk(swarm, chunk);
@@ -106,7 +109,7 @@
     return NULL;
 }
 
-static bool chunk_requested(const struct swarm *swarm, uint32_t chunk)
+static bool is_chunk_requested(const struct swarm *swarm, uint32_t chunk)
 {
     for (uint32_t i = 0; i < swarm->request_count; i++)
         if (swarm->requests[i].chunk == chunk)
@@ -117,7 +120,8 @@
 static uint64_t request_timeout(const struct swarm *swarm)
 {
     bool endgame = swarm->chunk_count - swarm->held <= swarm->settings.download_window;
-    uint64_t timeout = swarm->mean_chunk_us * (endgame ? ENDGAME_TIMEOUT_MEANS : TIMEOUT_MEANS);
+    uint64_t timeout =
+        swarm->mean_chunk_us * (endgame ? ENDGAME_TIMEOUT_MEAN_DURATIONS : TIMEOUT_MEAN_DURATIONS);
     if (!swarm->mean_chunk_us || timeout > swarm->settings.chunk_timeout_us)
         return swarm->settings.chunk_timeout_us;
     uint64_t least = swarm->settings.chunk_timeout_us / 16;
@@ -156,11 +160,11 @@
         swarm->downloads--;
     if (neighbour && !ended.probe && neighbour->in_flight)
         neighbour->in_flight--;
-    if (!bitmap_get(swarm->have, ended.chunk) && !chunk_requested(swarm, ended.chunk))
+    if (!bitmap_get(swarm->have, ended.chunk) && !is_chunk_requested(swarm, ended.chunk))
         bitmap_set(swarm->open, ended.chunk);
 }
 
-static void cancel_others(struct swarm *swarm, uint32_t chunk)
+static void cancel_requests(struct swarm *swarm, uint32_t chunk)
 {
     for (uint32_t i = 0; i < swarm->request_count;) {
         struct request *request = &swarm->requests[i];
@@ -176,12 +180,12 @@
 
 /* ---- choice of chunk and peer ---- */
 
-static bool neighbour_usable(const struct swarm *swarm, const struct neighbour *neighbour,
-                             uint64_t now)
+static bool is_neighbour_usable(const struct swarm *swarm, const struct neighbour *neighbour,
+                                uint64_t now)
 {
     return neighbour->have_count && neighbour->backoff_until <= now &&
            neighbour->in_flight < swarm->settings.peer_window &&
-           now - neighbour->last_heard < swarm->settings.silence_us;
+           now - neighbour->last_heard < swarm->settings.neighbour_timeout_us;
 }
 
 /* Open chunks that a usable neighbour holds. \return false when there are none */
@@ -191,7 +195,7 @@
     memset(offers, 0, swarm->words * sizeof *offers);
     for (uint32_t i = 0; i < swarm->neighbour_count; i++) {
         const struct neighbour *neighbour = &swarm->neighbours[i];
-        if (!neighbour_usable(swarm, neighbour, now))
+        if (!is_neighbour_usable(swarm, neighbour, now))
             continue;
         for (size_t word = 0; word < swarm->words; word++)
             offers[word] |= neighbour->have[word];
@@ -203,8 +207,8 @@
     return any != 0;
 }
 
-/* The rarest of RAREST_SAMPLE offered chunks from a random start on; among equally rare ones any,
- * as members that take the same ones have nothing to give each other. */
+/* The rarest of RAREST_SAMPLE_CHUNKS offered chunks from a random start on; among equally rare ones
+ * any, as members that take the same ones have nothing to give each other. */
 static uint32_t rarest_offer(struct swarm *swarm, const uint64_t *offers)
 {
     uint32_t best = UINT32_MAX;
@@ -212,7 +216,7 @@
     size_t start = (size_t)random_below(&swarm->random, swarm->words);
     unsigned seen = 0;
     uint32_t ties = 0;
-    for (size_t i = 0; i < swarm->words && seen < RAREST_SAMPLE; i++) {
+    for (size_t i = 0; i < swarm->words && seen < RAREST_SAMPLE_CHUNKS; i++) {
         size_t word = start + i < swarm->words ? start + i : start + i - swarm->words;
         for (uint64_t bits = offers[word]; bits; bits &= bits - 1) {
             uint32_t chunk = (uint32_t)(word * BITMAP_WORD_BITS) + (uint32_t)__builtin_ctzll(bits);
@@ -233,20 +237,20 @@
 {
     uint32_t cost = 2 * (neighbour->upload_queue + neighbour->in_flight);
     if (neighbour->region != swarm->region)
-        cost += FAR_REGION_COST;
+        cost += OTHER_REGION_COST;
     else if (neighbour->zone != swarm->zone)
-        cost += FAR_ZONE_COST;
+        cost += OTHER_ZONE_COST;
     return cost;
 }
 
-static struct neighbour *cheapest_holder(struct swarm *swarm, uint64_t now, uint32_t chunk)
+static struct neighbour *lowest_cost_holder(struct swarm *swarm, uint64_t now, uint32_t chunk)
 {
     struct neighbour *best = NULL;
     uint32_t best_cost = 0;
     uint32_t ties = 0;
     for (uint32_t i = 0; i < swarm->neighbour_count; i++) {
         struct neighbour *neighbour = &swarm->neighbours[i];
-        if (!bitmap_get(neighbour->have, chunk) || !neighbour_usable(swarm, neighbour, now))
+        if (!bitmap_get(neighbour->have, chunk) || !is_neighbour_usable(swarm, neighbour, now))
             continue;
         uint32_t cost = neighbour_cost(swarm, neighbour);
         if (!best || cost < best_cost) {
@@ -266,7 +270,7 @@
     while (swarm->downloads < swarm->settings.download_window &&
            swarm->request_count < SWARM_MAX_IN_FLIGHT && collect_offers(swarm, now, offers)) {
         uint32_t chunk = rarest_offer(swarm, offers);
-        struct neighbour *holder = cheapest_holder(swarm, now, chunk);
+        struct neighbour *holder = lowest_cost_holder(swarm, now, chunk);
         assert(holder);
         swarm_start_request(swarm, now, holder->id, chunk, false);
     }
@@ -276,7 +280,7 @@
 {
     if (!swarm->plan || swarm_complete(swarm))
         return;
-    swarm_perform_duties(swarm, now);
+    swarm_start_due_assignments(swarm, now);
     fill_from_neighbours(swarm, now);
 }
 
@@ -296,7 +300,7 @@
     }
     swarm_drop_former_members(swarm);
     swarm_fill_neighbours(swarm, now);
-    swarm_collect_duties(swarm);
+    swarm_collect_assignments(swarm);
     swarm_on_tick(swarm, now);
 }
 
@@ -305,13 +309,13 @@
 void swarm_on_update(struct swarm *swarm, uint64_t now, uint64_t peer,
                      const struct swarm_update *update)
 {
-    if (swarm_learn_update(swarm, now, peer, update))
+    if (swarm_apply_update(swarm, now, peer, update))
         fill_requests(swarm, now);
 }
 
 /* ---- results ---- */
 
-static void learn_duration(struct swarm *swarm, uint64_t duration)
+static void update_mean_chunk_time(struct swarm *swarm, uint64_t duration)
 {
     swarm->mean_chunk_us =
         swarm->mean_chunk_us ? (7 * swarm->mean_chunk_us + duration) / 8 : duration;
@@ -327,44 +331,44 @@
             neighbour->received++;
         }
         if (source != SWARM_ORIGIN)
-            learn_duration(swarm, now - request->started);
+            update_mean_chunk_time(swarm, now - request->started);
         end_request(swarm, request);
     }
     if (chunk >= swarm->chunk_count || bitmap_get(swarm->have, chunk))
         return false;
     add_chunk(swarm, chunk);
-    cancel_others(swarm, chunk);
+    cancel_requests(swarm, chunk);
     if (source == SWARM_ORIGIN)
         swarm->counters.chunks_from_origin++;
     else
         swarm->counters.chunks_from_peers++;
-    swarm_drop_done_duties(swarm, chunk);
+    swarm_drop_completed_assignments(swarm, chunk);
     fill_requests(swarm, now);
-    swarm_announce_news(swarm, now);
+    swarm_send_announcements(swarm, now);
     return true;
 }
 
 /* A link with bit errors now and then is used on; a peer with bad memory is not. */
-static bool mostly_corrupt(struct neighbour *neighbour)
+static bool record_corrupt_chunk(struct neighbour *neighbour)
 {
     neighbour->corrupt++;
-    return neighbour->corrupt >= CORRUPT_STRIKES &&
-           neighbour->corrupt * CORRUPT_SHARE > neighbour->received;
+    return neighbour->corrupt >= CORRUPT_MIN_CHUNKS &&
+           neighbour->corrupt * CORRUPT_RATIO > neighbour->received;
 }
 
-static void punish(struct swarm *swarm, uint64_t now, struct neighbour *neighbour,
-                   enum swarm_failure failure, uint64_t retry_after_us)
+static void back_off(struct swarm *swarm, uint64_t now, struct neighbour *neighbour,
+                     enum swarm_failure failure, uint64_t retry_after_us)
 {
-    uint64_t pause =
-        swarm->settings.busy_backoff_us
-        << (neighbour->refusals < MAX_BACKOFF_STEPS ? neighbour->refusals : MAX_BACKOFF_STEPS);
+    uint64_t pause = swarm->settings.busy_backoff_us
+                     << (neighbour->refusals < MAX_BACKOFF_DOUBLINGS ? neighbour->refusals
+                                                                     : MAX_BACKOFF_DOUBLINGS);
     neighbour->refusals++;
     if (failure == SWARM_FAILURE_ERROR)
         pause = swarm->settings.chunk_timeout_us;
     if (failure == SWARM_FAILURE_ABSENT)
         neighbour->wants_full = true;
-    if (failure == SWARM_FAILURE_CORRUPT && mostly_corrupt(neighbour))
-        pause = swarm->settings.silence_us * CORRUPT_PAUSE_SILENCES;
+    if (failure == SWARM_FAILURE_CORRUPT && record_corrupt_chunk(neighbour))
+        pause = swarm->settings.neighbour_timeout_us * CORRUPT_BACKOFF_TIMEOUTS;
     if (pause < retry_after_us)
         pause = retry_after_us;
     neighbour->backoff_until = now + pause;
@@ -382,14 +386,14 @@
         return;
     struct request request = *found;
     end_request(swarm, found);
-    swarm_duty_failed(swarm, now, &request, failure);
+    swarm_assignment_failed(swarm, now, &request, failure);
     if (source == SWARM_ORIGIN) {
-        uint64_t pause = swarm->settings.busy_backoff_us + swarm->settings.origin_step_us / 2;
+        uint64_t pause = swarm->settings.busy_backoff_us + swarm->settings.origin_rank_delay_us / 2;
         swarm->origin_backoff_until = now + (pause > retry_after_us ? pause : retry_after_us);
     }
     struct neighbour *neighbour = swarm_find_neighbour(swarm, source);
     if (neighbour)
-        punish(swarm, now, neighbour, failure, retry_after_us);
+        back_off(swarm, now, neighbour, failure, retry_after_us);
     fill_requests(swarm, now);
 }
 
@@ -413,9 +417,9 @@
     if (!swarm->plan)
         return;
     expire_requests(swarm, now);
-    swarm_replace_silent(swarm, now);
+    swarm_replace_silent_neighbours(swarm, now);
     fill_requests(swarm, now);
-    swarm_announce_news(swarm, now);
+    swarm_send_announcements(swarm, now);
 }
 
 enum swarm_upload swarm_admit_upload(const struct swarm *swarm, uint32_t chunk, uint32_t queue)
@@ -426,8 +430,9 @@
         return queue < swarm->settings.upload_limit ? SWARM_UPLOAD_SERVE : SWARM_UPLOAD_BUSY;
     if (!bitmap_get(swarm->open, chunk))
         return SWARM_UPLOAD_PENDING;
-    for (uint32_t i = 0; i < swarm->duty_count; i++)
-        if (swarm->duties[i].chunk == chunk && swarm->duties[i].next == swarm->duties[i].position)
+    for (uint32_t i = 0; i < swarm->assignment_count; i++)
+        if (swarm->assignments[i].chunk == chunk &&
+            swarm->assignments[i].next == swarm->assignments[i].position)
             return SWARM_UPLOAD_PENDING;
     return SWARM_UPLOAD_ABSENT;
 }
--- a/src/core/swarm.h
+++ b/src/core/swarm.h
@@ -23,7 +23,7 @@
 #define SWARM_ORIGIN 0ULL
 #define SWARM_GLOBAL_RANKS 4
 #define SWARM_REGION_RANKS 2
-#define SWARM_LADDER_SIZE (SWARM_GLOBAL_RANKS + SWARM_REGION_RANKS)
+#define SWARM_PREFERENCE_LIST_SIZE (SWARM_GLOBAL_RANKS + SWARM_REGION_RANKS)
 #define SWARM_MAX_NEIGHBOURS 48
 #define SWARM_MAX_IN_FLIGHT 96
 
@@ -41,18 +41,18 @@
 void swarm_plan_release(struct swarm_plan *plan);
 
 struct swarm_settings {
-    uint32_t origin_budget;    /**< copies that the origin may give at once */
-    uint32_t download_window;  /**< chunk requests in flight */
-    uint32_t peer_window;      /**< requests in flight to one peer */
-    uint32_t upload_limit;     /**< uploads queued or running before "busy" */
-    uint32_t neighbours;       /**< peers chosen by this node */
-    uint64_t announce_us;      /**< least time between announcements */
-    uint64_t silence_us;       /**< a silent neighbour is replaced after this */
-    uint64_t chunk_timeout_us; /**< a request without its chunk is given up */
-    uint64_t busy_backoff_us;  /**< pause before a busy peer is asked again */
-    uint64_t origin_copy_us;   /**< time that the origin's link takes for one copy */
-    uint64_t origin_step_us;   /**< wait of a later rank, for each rank before it */
-    uint64_t join_hold_us;     /**< wait for neighbours before the first origin read */
+    uint32_t origin_budget;        /**< copies that the origin may give at once */
+    uint32_t download_window;      /**< chunk requests in flight */
+    uint32_t peer_window;          /**< requests in flight to one peer */
+    uint32_t upload_limit;         /**< uploads queued or running before "busy" */
+    uint32_t neighbours;           /**< peers chosen by this node */
+    uint64_t announce_us;          /**< least time between announcements */
+    uint64_t neighbour_timeout_us; /**< a silent neighbour is replaced after this */
+    uint64_t chunk_timeout_us;     /**< a request without its chunk is given up */
+    uint64_t busy_backoff_us;      /**< pause before a busy peer is asked again */
+    uint64_t origin_copy_us;       /**< time that the origin's link takes for one copy */
+    uint64_t origin_rank_delay_us; /**< wait of a later rank, for each rank before it */
+    uint64_t join_delay_us;        /**< wait for neighbours before the first origin read */
 };
 
 /** Announcement to one neighbour; pointers are valid during the call only. */
@@ -105,7 +105,7 @@
 void swarm_destroy(struct swarm *swarm);
 
 /** \brief Chunks already held, for example shared with an older version; before swarm_start(). */
-void swarm_hold(struct swarm *swarm, uint32_t chunk);
+void swarm_mark_held(struct swarm *swarm, uint32_t chunk);
 
 /** \brief Give the first or a changed target set; retains the plan. */
 void swarm_set_plan(struct swarm *swarm, uint64_t now, struct swarm_plan *plan);
--- a/src/core/swarm_internal.h
+++ b/src/core/swarm_internal.h
@@ -41,7 +41,7 @@
 };
 
 /* This node's place in the ladder of one chunk. */
-struct duty {
+struct read_assignment {
     uint32_t chunk;
     uint8_t position;
     uint8_t next; /* ladder entry to ask next; == position: read from the origin */
@@ -77,10 +77,10 @@
     uint32_t origin_reads;
     uint64_t origin_backoff_until;
     uint64_t mean_chunk_us;
-    struct duty *duties;
-    uint32_t duty_count;
-    uint64_t *suspects; /* members that did not answer as ladder entries */
-    uint32_t suspect_count;
+    struct read_assignment *assignments;
+    uint32_t assignment_count;
+    uint64_t *unresponsive; /* members that did not answer as ladder entries */
+    uint32_t unresponsive_count;
 };
 
 /* swarm.c */
@@ -91,18 +91,18 @@
 struct neighbour *swarm_find_neighbour(struct swarm *swarm, uint64_t id);
 void swarm_fill_neighbours(struct swarm *swarm, uint64_t now);
 void swarm_drop_former_members(struct swarm *swarm);
-void swarm_replace_silent(struct swarm *swarm, uint64_t now);
-void swarm_announce_news(struct swarm *swarm, uint64_t now);
+void swarm_replace_silent_neighbours(struct swarm *swarm, uint64_t now);
+void swarm_send_announcements(struct swarm *swarm, uint64_t now);
 /** \brief Take an update in. \return false when it is not of this rollout or from no member */
-bool swarm_learn_update(struct swarm *swarm, uint64_t now, uint64_t peer,
+bool swarm_apply_update(struct swarm *swarm, uint64_t now, uint64_t peer,
                         const struct swarm_update *update);
 
 /* swarm_duties.c */
-void swarm_collect_duties(struct swarm *swarm);
-void swarm_perform_duties(struct swarm *swarm, uint64_t now);
-void swarm_drop_done_duties(struct swarm *swarm, uint32_t chunk);
-void swarm_duty_failed(struct swarm *swarm, uint64_t now, const struct request *request,
-                       enum swarm_failure failure);
-void swarm_clear_suspect(struct swarm *swarm, uint64_t id);
+void swarm_collect_assignments(struct swarm *swarm);
+void swarm_start_due_assignments(struct swarm *swarm, uint64_t now);
+void swarm_drop_completed_assignments(struct swarm *swarm, uint32_t chunk);
+void swarm_assignment_failed(struct swarm *swarm, uint64_t now, const struct request *request,
+                             enum swarm_failure failure);
+void swarm_clear_unresponsive(struct swarm *swarm, uint64_t id);
 
 #endif
--- a/src/core/swarm_neighbours.c
+++ b/src/core/swarm_neighbours.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_UPDATE_EVERY 64 /* every so many updates are full, against lost state */
+#define FULL_UPDATE_INTERVAL 64 /* every so many updates are full, against lost state */
 
 /* ---- neighbours ---- */
 
@@ -37,7 +37,7 @@
     return neighbour;
 }
 
-static void forget_have(struct swarm *swarm, struct neighbour *neighbour)
+static void clear_have_set(struct swarm *swarm, struct neighbour *neighbour)
 {
     for (uint32_t chunk = 0; chunk < swarm->chunk_count; chunk++)
         if (bitmap_get(neighbour->have, chunk))
@@ -48,7 +48,7 @@
 
 static void remove_neighbour(struct swarm *swarm, struct neighbour *neighbour)
 {
-    forget_have(swarm, neighbour);
+    clear_have_set(swarm, neighbour);
     free(neighbour->have);
     *neighbour = swarm->neighbours[--swarm->neighbour_count];
 }
@@ -94,12 +94,12 @@
     }
 }
 
-void swarm_replace_silent(struct swarm *swarm, uint64_t now)
+void swarm_replace_silent_neighbours(struct swarm *swarm, uint64_t now)
 {
     bool replaced = false;
     for (uint32_t i = 0; i < swarm->neighbour_count;) {
         struct neighbour *neighbour = &swarm->neighbours[i];
-        bool silent = now - neighbour->last_heard >= swarm->settings.silence_us;
+        bool silent = now - neighbour->last_heard >= swarm->settings.neighbour_timeout_us;
         if (silent && !neighbour->chosen) {
             remove_neighbour(swarm, neighbour);
             continue;
@@ -108,7 +108,7 @@
         if (silent) {
             neighbour->chosen = false;
             neighbour->last_heard = now;
-            neighbour->backoff_until = now + swarm->settings.silence_us;
+            neighbour->backoff_until = now + swarm->settings.neighbour_timeout_us;
             replaced = true;
         }
         i++;
@@ -119,14 +119,14 @@
 
 /* ---- announcements ---- */
 
-static bool has_news(const struct swarm *swarm, const struct neighbour *neighbour)
+static bool needs_announcement(const struct swarm *swarm, const struct neighbour *neighbour)
 {
     return neighbour->announced < swarm->held || neighbour->needs_full || neighbour->wants_full;
 }
 
 static void announce_to(struct swarm *swarm, uint64_t now, struct neighbour *neighbour)
 {
-    bool full = neighbour->needs_full || neighbour->sequence_out % FULL_UPDATE_EVERY == 0;
+    bool full = neighbour->needs_full || neighbour->sequence_out % FULL_UPDATE_INTERVAL == 0;
     struct swarm_update update = {
         .rollout = swarm->rollout,
         .sequence = ++neighbour->sequence_out,
@@ -144,18 +144,19 @@
 }
 
 /* News goes out at once, but not more often than `announce_us`; without news as a heartbeat. */
-void swarm_announce_news(struct swarm *swarm, uint64_t now)
+void swarm_send_announcements(struct swarm *swarm, uint64_t now)
 {
-    uint64_t heartbeat = swarm->settings.silence_us / 4;
+    uint64_t heartbeat = swarm->settings.neighbour_timeout_us / 4;
     for (uint32_t i = 0; i < swarm->neighbour_count; i++) {
         struct neighbour *neighbour = &swarm->neighbours[i];
-        uint64_t wait = has_news(swarm, neighbour) ? swarm->settings.announce_us : heartbeat;
+        uint64_t wait =
+            needs_announcement(swarm, neighbour) ? swarm->settings.announce_us : heartbeat;
         if (!neighbour->last_sent || now - neighbour->last_sent >= wait)
             announce_to(swarm, now, neighbour);
     }
 }
 
-static void learn_chunk(struct swarm *swarm, struct neighbour *neighbour, uint32_t chunk)
+static void record_neighbour_chunk(struct swarm *swarm, struct neighbour *neighbour, uint32_t chunk)
 {
     if (chunk >= swarm->chunk_count || bitmap_get(neighbour->have, chunk))
         return;
@@ -164,16 +165,17 @@
     swarm->availability[chunk]++;
 }
 
-static void learn_full(struct swarm *swarm, struct neighbour *neighbour, const uint64_t *have)
+static void replace_have_set(struct swarm *swarm, struct neighbour *neighbour, const uint64_t *have)
 {
-    forget_have(swarm, neighbour);
+    clear_have_set(swarm, neighbour);
     for (size_t word = 0; word < swarm->words; word++)
         for (uint64_t bits = have[word]; bits; bits &= bits - 1)
-            learn_chunk(swarm, neighbour,
-                        (uint32_t)(word * BITMAP_WORD_BITS) + (uint32_t)__builtin_ctzll(bits));
+            record_neighbour_chunk(swarm, neighbour,
+                                   (uint32_t)(word * BITMAP_WORD_BITS) +
+                                       (uint32_t)__builtin_ctzll(bits));
 }
 
-bool swarm_learn_update(struct swarm *swarm, uint64_t now, uint64_t peer,
+bool swarm_apply_update(struct swarm *swarm, uint64_t now, uint64_t peer,
                         const struct swarm_update *update)
 {
     if (update->rollout != swarm->rollout || !swarm->plan)
@@ -183,18 +185,18 @@
         neighbour = add_neighbour(swarm, now, peer, false);
     if (!neighbour)
         return false;
-    swarm_clear_suspect(swarm, peer);
+    swarm_clear_unresponsive(swarm, peer);
     neighbour->last_heard = now;
     neighbour->upload_queue = update->upload_queue;
     neighbour->needs_full |= update->want_full;
     if (update->have_all) {
-        learn_full(swarm, neighbour, update->have_all);
+        replace_have_set(swarm, neighbour, update->have_all);
         neighbour->wants_full = false;
     } else if (update->sequence != neighbour->sequence_in + 1) {
         neighbour->wants_full = true; /* an update was lost or came out of order */
     }
     for (uint32_t i = 0; i < update->new_count; i++)
-        learn_chunk(swarm, neighbour, update->have_new[i]);
+        record_neighbour_chunk(swarm, neighbour, update->have_new[i]);
     neighbour->sequence_in = update->sequence;
     return true;
 }
--- a/src/core/swarm_plan.c
+++ b/src/core/swarm_plan.c
@@ -97,23 +97,25 @@
     return found ? low : SWARM_NO_MEMBER;
 }
 
-static uint32_t append_new(uint32_t *ladder, uint32_t count, const uint32_t *ranks, uint32_t size)
+static uint32_t append_unlisted(uint32_t *preferences, uint32_t count, const uint32_t *ranks,
+                                uint32_t size)
 {
     for (uint32_t i = 0; i < size && ranks[i] != SWARM_NO_MEMBER; i++) {
         bool repeated = false;
         for (uint32_t j = 0; j < count; j++)
-            repeated = repeated || ladder[j] == ranks[i];
+            repeated = repeated || preferences[j] == ranks[i];
         if (!repeated)
-            ladder[count++] = ranks[i];
+            preferences[count++] = ranks[i];
     }
     return count;
 }
 
-uint32_t swarm_plan_ladder(const struct swarm_plan *plan, uint32_t chunk, uint16_t region,
-                           uint32_t ladder[SWARM_LADDER_SIZE])
+uint32_t swarm_plan_preference_list(const struct swarm_plan *plan, uint32_t chunk, uint16_t region,
+                                    uint32_t preferences[SWARM_PREFERENCE_LIST_SIZE])
 {
-    uint32_t count = append_new(ladder, 0, &plan->global_ranks[(size_t)chunk * SWARM_GLOBAL_RANKS],
-                                SWARM_GLOBAL_RANKS);
+    uint32_t count =
+        append_unlisted(preferences, 0, &plan->global_ranks[(size_t)chunk * SWARM_GLOBAL_RANKS],
+                        SWARM_GLOBAL_RANKS);
     size_t row = ((size_t)chunk * plan->region_count + region) * SWARM_REGION_RANKS;
-    return append_new(ladder, count, &plan->region_ranks[row], SWARM_REGION_RANKS);
+    return append_unlisted(preferences, count, &plan->region_ranks[row], SWARM_REGION_RANKS);
 }
--- a/src/core/swarm_plan.h
+++ b/src/core/swarm_plan.h
@@ -27,7 +27,7 @@
  * \brief The ladder of one chunk for a node of `region`, without repeats.
  * \return its length; `ladder` holds member indexes
  */
-uint32_t swarm_plan_ladder(const struct swarm_plan *plan, uint32_t chunk, uint16_t region,
-                           uint32_t ladder[SWARM_LADDER_SIZE]);
+uint32_t swarm_plan_preference_list(const struct swarm_plan *plan, uint32_t chunk, uint16_t region,
+                                    uint32_t preferences[SWARM_PREFERENCE_LIST_SIZE]);
 
 #endif
--- a/src/sim/rollout/rollout_machines.c
+++ b/src/sim/rollout/rollout_machines.c
@@ -150,18 +150,18 @@
     return hash_pair(1, version);
 }
 
-static void create_swarm(struct machine_sim *machine, uint64_t join_hold_us)
+static void create_swarm(struct machine_sim *machine, uint64_t join_delay_us)
 {
     struct rollout_sim *sim = machine->sim;
     struct swarm_driver driver = {machine, on_fetch, on_cancel, on_announce};
     struct swarm_settings settings = sim->options.swarm;
-    settings.join_hold_us = join_hold_us;
+    settings.join_delay_us = join_delay_us;
     uint64_t seed = hash_pair(sim->options.seed, hash_pair(machine->id, machine->incarnation));
     machine->swarm = swarm_create(&settings, machine->id, rollout_key(machine->version),
                                   sim->chunk_count, seed, &driver);
     for (uint32_t chunk = 0; chunk < sim->chunk_count; chunk++)
         if (machine->content[chunk] == rollout_content_name(sim, machine->version, chunk))
-            swarm_hold(machine->swarm, chunk);
+            swarm_mark_held(machine->swarm, chunk);
 }
 
 struct swarm_plan *rollout_sim_plan(struct rollout_sim *sim, uint32_t version)
@@ -186,10 +186,10 @@
         machine->content[chunk] = NO_CONTENT;
 }
 
-void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_hold_us)
+void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_delay_us)
 {
     struct rollout_sim *sim = machine->sim;
-    create_swarm(machine, join_hold_us);
+    create_swarm(machine, join_delay_us);
     swarm_set_plan(machine->swarm, sim->now / 1000, rollout_sim_plan(sim, machine->version));
     uint64_t announce_ns = sim->options.swarm.announce_us * 1000;
     rollout_sim_push(sim, sim->now + random_below(&sim->random, announce_ns), EVENT_TICK,
--- a/src/sim/rollout/rollout_sim.c
+++ b/src/sim/rollout/rollout_sim.c
@@ -57,12 +57,12 @@
         .upload_limit = 4,
         .neighbours = 10,
         .announce_us = (uint64_t)(chunk_us * 4 > 200000 ? chunk_us * 4 : 200000),
-        .silence_us = 5000000,
+        .neighbour_timeout_us = 5000000,
         .chunk_timeout_us = (uint64_t)(chunk_us * 64 > 2000000 ? chunk_us * 64 : 2000000),
         .busy_backoff_us = (uint64_t)chunk_us,
         .origin_copy_us = (uint64_t)(copy_us * 1.2),
-        .origin_step_us = (uint64_t)(chunk_us * 64 > 2000000 ? chunk_us * 64 : 2000000),
-        .join_hold_us = 0,
+        .origin_rank_delay_us = (uint64_t)(chunk_us * 64 > 2000000 ? chunk_us * 64 : 2000000),
+        .join_delay_us = 0,
     };
     return settings;
 }
--- a/src/sim/rollout/rollout_world.h
+++ b/src/sim/rollout/rollout_world.h
@@ -111,7 +111,7 @@
                       uint32_t from, uint32_t number, void *payload);
 uint32_t rollout_sim_chunk_of(uint32_t name);
 bool rollout_sim_is_wanted(const struct machine_sim *machine, uint32_t name);
-void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_hold_us);
+void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_delay_us);
 void rollout_sim_stop_serving(struct machine_sim *machine);
 void rollout_sim_serve_when_complete(struct machine_sim *machine);
 void rollout_sim_check_load(struct machine_sim *machine);
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -157,7 +157,7 @@
                                    uint32_t first, uint64_t now)
 {
     for (uint32_t i = 0; i < list->count; i++) {
-        uint32_t place = i < list->near ? (first + i) % list->near : i;
+        uint32_t place = i < list->same_region_count ? (first + i) % list->same_region_count : i;
         uint32_t address = list->addresses[place];
         if (address == RELAY_ORIGIN && !sources->has_origin)
             continue;
@@ -174,7 +174,8 @@
     if (!sources->list_count)
         return NULL;
     const struct relay_sources *list = &sources->lists[piece < sources->list_count ? piece : 0];
-    uint32_t sharing = list->near < sources->spread ? list->near : sources->spread;
+    uint32_t sharing =
+        list->same_region_count < sources->spread ? list->same_region_count : sources->spread;
     return choose(sources, list, sharing ? piece % sharing : 0, now);
 }
 
@@ -192,7 +193,7 @@
 
 uint64_t piece_sources_weight(const struct piece_sources *sources, uint32_t piece)
 {
-    return relay_plan_weight(&sources->plan, piece);
+    return relay_plan_piece_priority(&sources->plan, piece);
 }
 
 uint32_t piece_sources_relays(const struct piece_sources *sources)
--- a/tests/core/relay_plan_test.c
+++ b/tests/core/relay_plan_test.c
@@ -9,26 +9,26 @@
 #define ROLLOUT 42
 #define PIECES 64
 
-static uint32_t few_fast_gateways(uint32_t index)
+static uint32_t two_fast_gateways_per_region(uint32_t index)
 {
     if (fleet_role(index) == MEMBER_LOADER)
         return 7;
     return index < 2 * FLEET_REGIONS ? 200 : 40;
 }
 
-static uint32_t slow_gateways(uint32_t index)
+static uint32_t only_slow_gateways(uint32_t index)
 {
     return fleet_role(index) == MEMBER_LOADER ? 8 : 40;
 }
 
-static void plan_of(uint32_t index, fleet_link_rate *link, struct relay_plan *plan)
+static void refresh_plan_of(uint32_t index, fleet_link_rate *link, struct relay_plan *plan)
 {
     struct membership *membership = fleet_view_of(index, link);
     relay_plan_refresh(plan, membership, ROLLOUT);
     membership_destroy(membership);
 }
 
-static bool names(const struct relay_plan *plan, uint32_t address)
+static bool has_relay(const struct relay_plan *plan, uint32_t address)
 {
     for (uint32_t i = 0; i < plan->count; i++)
         if (plan->relays[i].address == address)
@@ -36,39 +36,39 @@
     return false;
 }
 
-static void all_nodes_name_the_same_relays(void **state)
+static void all_nodes_compute_the_same_relays(void **state)
 {
     struct relay_plan first, other;
-    plan_of(0, few_fast_gateways, &first);
+    refresh_plan_of(0, two_fast_gateways_per_region, &first);
     for (uint32_t index = 1; index < FLEET_MEMBERS; index += 7) {
-        plan_of(index, few_fast_gateways, &other);
+        refresh_plan_of(index, two_fast_gateways_per_region, &other);
         assert_int_equal(other.count, first.count);
         for (uint32_t i = 0; i < first.count; i++)
-            assert_true(names(&other, first.relays[i].address));
+            assert_true(has_relay(&other, first.relays[i].address));
     }
 }
 
-static void gateways_with_fast_links_relay(void **state)
+static void gateways_with_the_fastest_links_become_relays(void **state)
 {
     struct relay_plan plan;
-    plan_of(FLEET_GATEWAYS, few_fast_gateways, &plan);
+    refresh_plan_of(FLEET_GATEWAYS, two_fast_gateways_per_region, &plan);
     /* 26 loaders of a region take 182 Mbit/s: half more is less than two links of 200. */
     for (uint32_t address = 1; address <= 2 * FLEET_REGIONS; address++)
-        assert_true(names(&plan, address));
+        assert_true(has_relay(&plan, address));
 }
 
-static void slow_links_make_more_relays(void **state)
+static void slow_gateway_links_need_more_relays(void **state)
 {
     struct relay_plan plan;
-    plan_of(FLEET_GATEWAYS, slow_gateways, &plan);
+    refresh_plan_of(FLEET_GATEWAYS, only_slow_gateways, &plan);
     /* 25 or 26 loaders of a region take 200 Mbit/s: half more is eight links of 40. */
     assert_in_range(plan.count, 8 * FLEET_REGIONS, 9 * FLEET_REGIONS);
 }
 
-static void two_relays_a_region_when_rates_are_not_known(void **state)
+static void each_region_has_two_relays_when_link_rates_are_unknown(void **state)
 {
     struct relay_plan plan;
-    plan_of(FLEET_GATEWAYS, NULL, &plan);
+    refresh_plan_of(FLEET_GATEWAYS, NULL, &plan);
     assert_int_equal(plan.count, 2 * FLEET_REGIONS);
 }
 
@@ -80,7 +80,7 @@
         uint32_t self = all->relays[i].address;
         struct relay_plan plan;
         struct relay_sources sources;
-        plan_of(self - 1, few_fast_gateways, &plan);
+        refresh_plan_of(self - 1, two_fast_gateways_per_region, &plan);
         relay_plan_relay_sources(&plan, piece, &sources);
         uint32_t best = sources.addresses[0];
         *from_origin += best == RELAY_ORIGIN;
@@ -89,10 +89,10 @@
     }
 }
 
-static void a_piece_is_read_once_and_crosses_to_each_other_region_once(void **state)
+static void each_piece_is_read_once_and_sent_once_to_each_other_region(void **state)
 {
     struct relay_plan plan;
-    plan_of(0, few_fast_gateways, &plan);
+    refresh_plan_of(0, two_fast_gateways_per_region, &plan);
     for (uint32_t piece = 0; piece < PIECES; piece += 9) {
         uint32_t from_origin = 0, crossings = 0;
         count_sources(&plan, piece, &from_origin, &crossings);
@@ -106,10 +106,10 @@
 {
     struct relay_plan plan;
     bool reads[FLEET_MEMBERS] = {false};
-    plan_of(0, few_fast_gateways, &plan);
+    refresh_plan_of(0, two_fast_gateways_per_region, &plan);
     for (uint32_t i = 0; i < plan.count; i++) {
         struct relay_plan own;
-        plan_of(plan.relays[i].address - 1, few_fast_gateways, &own);
+        refresh_plan_of(plan.relays[i].address - 1, two_fast_gateways_per_region, &own);
         for (uint32_t piece = 0; piece < PIECES; piece++) {
             struct relay_sources sources;
             relay_plan_relay_sources(&own, piece, &sources);
@@ -123,15 +123,15 @@
         assert_int_equal(by_region[region], 1);
 }
 
-static void one_relay_of_each_region_asks_the_origin_for_the_manifest(void **state)
+static void one_relay_of_each_region_requests_the_manifest_from_the_origin(void **state)
 {
     struct relay_plan all;
     uint32_t from_origin = 0;
-    plan_of(0, few_fast_gateways, &all);
+    refresh_plan_of(0, two_fast_gateways_per_region, &all);
     for (uint32_t i = 0; i < all.count; i++) {
         struct relay_plan plan;
         struct relay_sources sources;
-        plan_of(all.relays[i].address - 1, few_fast_gateways, &plan);
+        refresh_plan_of(all.relays[i].address - 1, two_fast_gateways_per_region, &plan);
         relay_plan_manifest_sources(&plan, &sources);
         from_origin += sources.addresses[0] == RELAY_ORIGIN;
         bool names_origin = false;
@@ -146,26 +146,27 @@
     assert_int_equal(from_origin, FLEET_REGIONS);
 }
 
-static void a_relay_whose_peers_fail_goes_to_the_origin_then_to_loaders(void **state)
+static void a_relay_falls_back_to_the_origin_then_to_loaders(void **state)
 {
     struct relay_plan plan;
     struct relay_sources sources;
-    plan_of(0, few_fast_gateways, &plan);
+    refresh_plan_of(0, two_fast_gateways_per_region, &plan);
     relay_plan_relay_sources(&plan, 5, &sources);
     assert_true(sources.count >= 4);
     uint32_t origin = 0;
     while (sources.addresses[origin] != RELAY_ORIGIN)
         origin++;
     for (uint32_t i = origin + 1; i < sources.count; i++)
-        assert_true(sources.addresses[i] > FLEET_GATEWAYS || names(&plan, sources.addresses[i]));
+        assert_true(sources.addresses[i] > FLEET_GATEWAYS ||
+                    has_relay(&plan, sources.addresses[i]));
     assert_true(sources.addresses[sources.count - 1] > FLEET_GATEWAYS);
 }
 
-static void a_loader_asks_its_own_region_first(void **state)
+static void a_loader_prefers_relays_of_its_own_region(void **state)
 {
     struct relay_plan plan;
     struct relay_sources sources;
-    plan_of(FLEET_GATEWAYS, few_fast_gateways, &plan);
+    refresh_plan_of(FLEET_GATEWAYS, two_fast_gateways_per_region, &plan);
     relay_plan_loader_sources(&plan, false, &sources);
     assert_int_equal(sources.count, 2 * FLEET_REGIONS);
     for (uint32_t i = 0; i < 2; i++)
@@ -177,7 +178,7 @@
     assert_int_equal(sources.addresses[sources.count - 1], RELAY_ORIGIN);
 }
 
-static uint32_t one_fast_gateway(uint32_t index)
+static uint32_t one_fast_gateway_per_region(uint32_t index)
 {
     if (fleet_role(index) == MEMBER_LOADER)
         return 12;
@@ -185,13 +186,13 @@
 }
 
 /* Some 26 loaders of a region take 312 Mbit/s: half more is one link of 400 and two of 40. */
-static void loaders_spread_over_relays_as_these_have_links(void **state)
+static void loaders_are_spread_over_relays_in_proportion_to_link_rates(void **state)
 {
     uint32_t at_fast = 0, loaders = 0;
     for (uint32_t index = FLEET_GATEWAYS; index < FLEET_MEMBERS; index++) {
         struct relay_plan plan;
         struct relay_sources sources;
-        plan_of(index, one_fast_gateway, &plan);
+        refresh_plan_of(index, one_fast_gateway_per_region, &plan);
         relay_plan_loader_sources(&plan, false, &sources);
         at_fast += sources.addresses[0] <= FLEET_REGIONS;
         loaders++;
@@ -200,31 +201,31 @@
     assert_in_range(at_fast, loaders * 2 / 3, loaders * 9 / 10);
 }
 
-static void the_dead_do_not_relay(void **state)
+static void a_dead_gateway_is_not_a_relay(void **state)
 {
     struct relay_plan plan;
-    struct membership *membership = fleet_view_of(FLEET_GATEWAYS, few_fast_gateways);
-    fleet_update_member(membership, 0, few_fast_gateways, MEMBER_DEAD);
+    struct membership *membership = fleet_view_of(FLEET_GATEWAYS, two_fast_gateways_per_region);
+    fleet_update_member(membership, 0, two_fast_gateways_per_region, MEMBER_DEAD);
     relay_plan_refresh(&plan, membership, ROLLOUT);
-    assert_false(names(&plan, 1));
-    assert_true(names(&plan, 2));
+    assert_false(has_relay(&plan, 1));
+    assert_true(has_relay(&plan, 2));
     membership_destroy(membership);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(all_nodes_name_the_same_relays),
-        cmocka_unit_test(gateways_with_fast_links_relay),
-        cmocka_unit_test(slow_links_make_more_relays),
-        cmocka_unit_test(two_relays_a_region_when_rates_are_not_known),
-        cmocka_unit_test(a_piece_is_read_once_and_crosses_to_each_other_region_once),
+        cmocka_unit_test(all_nodes_compute_the_same_relays),
+        cmocka_unit_test(gateways_with_the_fastest_links_become_relays),
+        cmocka_unit_test(slow_gateway_links_need_more_relays),
+        cmocka_unit_test(each_region_has_two_relays_when_link_rates_are_unknown),
+        cmocka_unit_test(each_piece_is_read_once_and_sent_once_to_each_other_region),
         cmocka_unit_test(one_relay_of_each_region_reads_from_the_origin),
-        cmocka_unit_test(one_relay_of_each_region_asks_the_origin_for_the_manifest),
-        cmocka_unit_test(a_relay_whose_peers_fail_goes_to_the_origin_then_to_loaders),
-        cmocka_unit_test(a_loader_asks_its_own_region_first),
-        cmocka_unit_test(loaders_spread_over_relays_as_these_have_links),
-        cmocka_unit_test(the_dead_do_not_relay),
+        cmocka_unit_test(one_relay_of_each_region_requests_the_manifest_from_the_origin),
+        cmocka_unit_test(a_relay_falls_back_to_the_origin_then_to_loaders),
+        cmocka_unit_test(a_loader_prefers_relays_of_its_own_region),
+        cmocka_unit_test(loaders_are_spread_over_relays_in_proportion_to_link_rates),
+        cmocka_unit_test(a_dead_gateway_is_not_a_relay),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/swarm_test.c
+++ b/tests/core/swarm_test.c
@@ -45,11 +45,11 @@
         .upload_limit = 2,
         .neighbours = 3,
         .announce_us = 100000,
-        .silence_us = 1000000,
+        .neighbour_timeout_us = 1000000,
         .chunk_timeout_us = 2000000,
         .busy_backoff_us = 10000,
         .origin_copy_us = 1000000,
-        .origin_step_us = 500000,
+        .origin_rank_delay_us = 500000,
     };
 }
 
@@ -74,11 +74,12 @@
 
 static uint32_t rank_of(const struct swarm_plan *plan, uint32_t chunk, uint64_t id)
 {
-    uint32_t ladder[SWARM_LADDER_SIZE];
+    uint32_t preferences[SWARM_PREFERENCE_LIST_SIZE];
     uint32_t self = swarm_plan_find(plan, id);
-    uint32_t length = swarm_plan_ladder(plan, chunk, plan->members[self].region, ladder);
+    uint32_t length =
+        swarm_plan_preference_list(plan, chunk, plan->members[self].region, preferences);
     for (uint32_t i = 0; i < length; i++)
-        if (ladder[i] == self)
+        if (preferences[i] == self)
             return i;
     return UINT32_MAX;
 }
@@ -90,7 +91,7 @@
     swarm_on_update(swarm, now, peer, &update);
 }
 
-static void each_chunk_has_one_first_reader(void **state)
+static void each_chunk_is_read_from_the_origin_by_one_member(void **state)
 {
     struct swarm_plan *plan = make_plan(MEMBERS);
     uint32_t readers[CHUNKS] = {0};
@@ -112,13 +113,13 @@
     swarm_plan_release(plan);
 }
 
-static void a_later_rank_asks_before_it_reads(void **state)
+static void a_lower_rank_asks_higher_ranks_before_the_origin(void **state)
 {
     struct swarm_plan *plan = make_plan(MEMBERS);
     struct recorder recorder = {0};
     struct swarm *swarm = make_swarm(&recorder, 100, MEMBERS);
     uint32_t before = recorder.fetches;
-    swarm_on_tick(swarm, 1 + 3000000 + 500000 * SWARM_LADDER_SIZE);
+    swarm_on_tick(swarm, 1 + 3000000 + 500000 * SWARM_PREFERENCE_LIST_SIZE);
     assert_true(recorder.fetches > before);
     bool asked = false;
     for (uint32_t i = before; i < recorder.fetches; i++) {
@@ -133,7 +134,7 @@
 }
 
 /* Failed before: the answer moved the new plan's ladder past its end. */
-static void an_answer_to_an_earlier_plan_is_ignored(void **state)
+static void a_response_to_a_request_of_an_earlier_plan_is_ignored(void **state)
 {
     struct recorder recorder = {0};
     struct swarm *swarm = make_swarm(&recorder, 100, MEMBERS);
@@ -151,7 +152,7 @@
     swarm_destroy(swarm);
 }
 
-static void rare_chunks_come_first_and_busy_peers_are_left_alone(void **state)
+static void a_busy_peer_is_not_asked_before_its_backoff_ends(void **state)
 {
     struct recorder recorder = {0};
     struct swarm *swarm = make_swarm(&recorder, 100, MEMBERS);
@@ -168,7 +169,7 @@
 }
 
 /* Failed before: three corrupt chunks in a rollout put a peer aside for good. */
-static void a_peer_with_few_corrupt_chunks_is_used_on(void **state)
+static void a_peer_with_a_low_share_of_corrupt_chunks_stays_in_use(void **state)
 {
     struct recorder recorder = {0};
     struct swarm *swarm = make_swarm(&recorder, 100, MEMBERS);
@@ -189,7 +190,7 @@
     swarm_destroy(swarm);
 }
 
-static void uploads_are_admitted_by_what_is_held(void **state)
+static void uploads_are_admitted_by_held_chunks_and_queue_length(void **state)
 {
     struct recorder recorder = {0};
     struct swarm *swarm = make_swarm(&recorder, 100, MEMBERS);
@@ -204,12 +205,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(each_chunk_has_one_first_reader),
-        cmocka_unit_test(a_later_rank_asks_before_it_reads),
-        cmocka_unit_test(an_answer_to_an_earlier_plan_is_ignored),
-        cmocka_unit_test(rare_chunks_come_first_and_busy_peers_are_left_alone),
-        cmocka_unit_test(a_peer_with_few_corrupt_chunks_is_used_on),
-        cmocka_unit_test(uploads_are_admitted_by_what_is_held),
+        cmocka_unit_test(each_chunk_is_read_from_the_origin_by_one_member),
+        cmocka_unit_test(a_lower_rank_asks_higher_ranks_before_the_origin),
+        cmocka_unit_test(a_response_to_a_request_of_an_earlier_plan_is_ignored),
+        cmocka_unit_test(a_busy_peer_is_not_asked_before_its_backoff_ends),
+        cmocka_unit_test(a_peer_with_a_low_share_of_corrupt_chunks_stays_in_use),
+        cmocka_unit_test(uploads_are_admitted_by_held_chunks_and_queue_length),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
