--- a/src/core/relay_plan.c
+++ b/src/core/relay_plan.c
@@ -6,16 +6,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Relays of a region, if it has so many gateways: one may fail. */
+/** Minimum number of relays in a region that has as many gateways: one may fail. */
 #define MIN_RELAYS_PER_REGION 2
-/** Rate of the relays' links, in hundredths of what the region's loaders can take: what is left
- * over is for the requests of clients. More relays are not better: each takes a whole copy from the
- * others, and slow ones among them held up a region of 41 loaders for 1.5 s. */
+/** Combined link rate of a region's relays, in percent of the combined link rate of its loaders.
+ * The surplus carries client requests. More relays are slower: each fetches a whole copy from the
+ * others, and relays with slow links delayed a region of 41 loaders by 1.5 s. */
 #define RELAY_CAPACITY_PERCENT 150
-/** Stands for the manifest where others have the number of a piece. */
+/** Hash key of the manifest, in place of a piece number. */
 #define MANIFEST_KEY UINT64_MAX
 
-/* A gateway that may become a relay. */
+/* A gateway that is eligible as a relay. */
 struct candidate {
     uint32_t address;
     uint32_t link_mbit;
@@ -72,7 +72,7 @@
     return takes ? member->link_mbit : 0;
 }
 
-/* Rate at which the loaders of a region can take pieces, Mbit/s. */
+/* Combined link rate of the loaders of a region, in Mbit/s. */
 static uint64_t region_demand(struct membership *membership, const char *region)
 {
     uint64_t demand = loader_demand(membership_self(membership), region);
@@ -165,15 +165,16 @@
         sources->addresses[sources->count++] = address;
 }
 
-/* Rendezvous weight: the greatest one is at each relay as often as its link's share says. */
+/* Weighted rendezvous hashing: a relay has the highest weight for a share of the keys that equals
+ * its share of the combined link rate. */
 static double relay_rendezvous_weight(const struct relay *relay, uint64_t key)
 {
-    /* In (0, 1): neither end can come. */
+    /* In the open interval (0, 1), so that the logarithm is finite and not zero. */
     double uniform = ((double)(hash_pair(key, relay->address) >> 12) + 0.5) / (double)(1ULL << 52);
     return relay->link_mbit / -log(uniform);
 }
 
-/* Add the relays of one region, or of all others, by rendezvous weight for a key. */
+/* Adds the relays of one region, or of all other regions, by descending weight for a key. */
 static void add_by_rendezvous_weight(const struct relay_plan *plan, uint64_t key,
                                      const char *region, bool others, struct relay_sources *sources)
 {
@@ -213,7 +214,7 @@
     add_source(sources, RELAY_ORIGIN);
 }
 
-/* \return the relay of greatest weight for a piece, of one region or of all (NULL) */
+/* \return the relay with the highest weight for a key, in one region or in all of them (NULL) */
 static const struct relay *top_ranked_relay(const struct relay_plan *plan, uint64_t key,
                                             const char *region, bool reads_origin)
 {
@@ -229,7 +230,7 @@
     return best;
 }
 
-/* Room for the origin and two loaders is kept. */
+/* Leaves space for the origin and two loaders. */
 static void reserve_fallback_sources(struct relay_sources *sources)
 {
     if (sources->count > RELAY_MAX_SOURCES - 3)
@@ -259,8 +260,9 @@
 }
 
 /*
- * The relays that read pieces from the origin ask it for the manifest: an answer to others waits
- * behind all pieces on the origin's narrow link, 0.8 s where 27 relays read from it.
+ * Only the relays that read pieces from the origin request the manifest from it. The origin's link
+ * is slow, and a response to any other relay queues behind all pieces: 0.8 s when 27 relays read
+ * from the origin.
  */
 void relay_plan_manifest_sources(const struct relay_plan *plan, struct relay_sources *sources)
 {
--- a/src/core/relay_plan.h
+++ b/src/core/relay_plan.h
@@ -1,72 +1,86 @@
 /**
- * Who hands on the pieces of a version: relays, and where each node takes a piece from.
+ * Relay selection for the distribution of model weights, and the order in which a node tries the
+ * sources of a piece.
  *
- * Relays are gateways, whose links carry far more than those of the machines beside model engines.
- * Every node computes the same ones from its members, without talking. In each region those with
- * the fastest links go first, and there are as many as it takes to feed the region's loaders at the
- * rate of their links. Views that differ for a moment cost a detour and nothing else: whoever is
- * asked for a piece gets it.
+ * Relays are gateways, whose links are much faster than those of the machines beside model engines.
+ * Every node computes the relays from its own membership view, without coordination. In each region
+ * the gateways with the fastest links are taken first, until their combined rate suffices to feed
+ * the region's loaders at the rate of the loaders' links. Views that differ for a moment only add a
+ * hop: any node that holds a piece serves it when asked.
  *
- * Each piece is read from the origin by one relay, of which each region has one, crosses to another
- * region once, and goes from there to the other relays and the loaders of that region. Work falls
- * to relays in proportion to their links.
+ * Each piece is read from the origin by one of the origin readers, of which each region has one. It
+ * is sent to each other region once, and from there to the other relays and the loaders of that
+ * region. Pieces are assigned to relays by weighted rendezvous hashing, in proportion to the rates
+ * of their links.
  */
 #ifndef SHUNTRUN_RELAY_PLAN_H
 #define SHUNTRUN_RELAY_PLAN_H
 
 #include "core/membership.h"
 
-/** Relays of one region at most, the fastest ones: they feed 1,300 loaders of 9.4 Mbit/s at the
- * rate of their links, if theirs are of 200 Mbit/s. */
+/** Maximum number of relays in one region; the fastest gateways are taken. With links of 200 Mbit/s
+ * they feed 1,300 loaders of 9.4 Mbit/s at the full rate of the loaders' links. */
 #define RELAY_MAX_PER_REGION 64
-/** Relays of all regions together at most: of eight regions of any size, of more where they are
- * smaller. */
+/** Maximum number of relays in all regions together: enough for eight regions of any size, and for
+ * more regions if these are smaller. */
 #define RELAY_PLAN_MAX_RELAYS 512
-/** Names the origin among sources; no member has this address. */
+/** Stands for the origin in a list of sources; no member has this address. */
 #define RELAY_ORIGIN 0U
-/** Sources of one piece at most. */
+/** Maximum number of sources of one piece. */
 #define RELAY_MAX_SOURCES 16
 
 struct relay {
     uint32_t address;
     uint32_t link_mbit; /**< at least 1 */
     char region[MEMBER_NAME_SIZE];
-    bool reads_origin; /**< it reads from the origin; one of each region does */
+    bool reads_origin; /**< reads pieces from the origin; true for one relay of each region */
 };
 
 struct relay_plan {
-    uint64_t rollout; /**< key of the version */
+    uint64_t rollout; /**< hash key of the model version */
     uint32_t self;
     char region[MEMBER_NAME_SIZE]; /**< of this node */
     struct relay relays[RELAY_PLAN_MAX_RELAYS];
     uint32_t count;
-    uint32_t loaders[2]; /**< of this region, for relays that find a piece nowhere else; 0: none */
+    uint32_t loaders[2]; /**< loaders of this region, last sources of a relay; 0: none */
 };
 
-/** Sources of a piece, the best one first. */
+/** Sources of a piece, in the order in which they are tried. */
 struct relay_sources {
     uint32_t addresses[RELAY_MAX_SOURCES];
     uint32_t count;
-    uint32_t same_region_count; /**< the first ones, relays of the own region that may share the
-                                   work; for loaders */
+    uint32_t same_region_count; /**< leading entries that are relays of the own region and share the
+                                   load; 0 for relays */
 };
 
-/** \brief Compute the relays from the present members. \param rollout key of the version */
+/**
+ * \brief Compute the relays from the current members.
+ * \param rollout hash key of the model version
+ */
 void relay_plan_refresh(struct relay_plan *plan, struct membership *membership, uint64_t rollout);
-/** \return by which of its pieces this node begins, greatest first: other nodes begin by others */
+/**
+ * \return priority of a piece at this node, fetched in descending order; it differs between nodes,
+ *         so that they do not all fetch the same piece first
+ */
 uint64_t relay_plan_piece_priority(const struct relay_plan *plan, uint32_t piece);
 /** \return whether this node is a relay */
 bool relay_plan_includes_self(const struct relay_plan *plan);
 /**
- * \brief Where a loader takes pieces from: relays of its region, then those of others.
- * \param origin whether to name the origin as the last resort
+ * \brief Sources of pieces for a loader: relays of its region, then relays of other regions.
+ * \param origin whether to add the origin as the last source
  */
 void relay_plan_loader_sources(const struct relay_plan *plan, bool origin,
                                struct relay_sources *sources);
-/** \brief Where a relay takes one piece from: at last the origin, then loaders of its region. */
+/**
+ * \brief Sources of one piece for a relay: its assigned source, other relays of its region, the
+ *        origin, and at last loaders of its region.
+ */
 void relay_plan_relay_sources(const struct relay_plan *plan, uint32_t piece,
                               struct relay_sources *sources);
-/** \brief Where a relay takes the manifest from: one of each region asks the origin first. */
+/**
+ * \brief Sources of the manifest for a relay: the origin first for one relay of each region, that
+ *        relay first for the others.
+ */
 void relay_plan_manifest_sources(const struct relay_plan *plan, struct relay_sources *sources);
 
 #endif
--- a/src/core/swarm.c
+++ b/src/core/swarm.c
@@ -7,17 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CORRUPT_MIN_CHUNKS 3 /* corrupt chunks after which a peer may be avoided */
-#define CORRUPT_RATIO 10     /* and only when it is more than one in so many */
-#define CORRUPT_BACKOFF_TIMEOUTS                                                                   \
-    8                            /* an avoided peer is tried again after so many silence times     \
-                                  */
-#define TIMEOUT_MEAN_DURATIONS 8 /* a request is given up after so many mean chunk times */
+/* A peer is backed off from after CORRUPT_MIN_CHUNKS corrupt chunks, if more than one in
+ * CORRUPT_RATIO was corrupt, for CORRUPT_BACKOFF_TIMEOUTS neighbour timeouts. */
+#define CORRUPT_MIN_CHUNKS 3
+#define CORRUPT_RATIO 10
+#define CORRUPT_BACKOFF_TIMEOUTS 8
+/* Request timeouts in mean chunk transfer times. */
+#define TIMEOUT_MEAN_DURATIONS 8
 #define ENDGAME_TIMEOUT_MEAN_DURATIONS 4
-#define RAREST_SAMPLE_CHUNKS                                                                       \
-    256                         /* chunks looked at for the rarest; bounds the work of one choice */
-#define MAX_BACKOFF_DOUBLINGS 3 /* a busy peer's pause doubles so often */
-#define OTHER_REGION_COST 2     /* cost of a peer in half queued chunks */
+/* Number of chunks compared in one choice of the rarest, to bound its cost. */
+#define RAREST_SAMPLE_CHUNKS 256
+#define MAX_BACKOFF_DOUBLINGS 3 /* of the backoff of a busy peer */
+/* Cost of a distant peer, in half queued chunks. */
+#define OTHER_REGION_COST 2
 #define OTHER_ZONE_COST 1
 
 /* ---- construction ---- */
@@ -148,7 +150,7 @@
     swarm->driver.fetch(swarm->driver.context, source, chunk);
 }
 
-/* Forget a request; its chunk is open again unless held or asked for elsewhere. */
+/* Removes a request; its chunk is open again unless held or requested from another source. */
 static void end_request(struct swarm *swarm, struct request *request)
 {
     struct request ended = *request;
@@ -178,7 +180,7 @@
     }
 }
 
-/* ---- choice of chunk and peer ---- */
+/* ---- selection of chunk and peer ---- */
 
 static bool is_neighbour_usable(const struct swarm *swarm, const struct neighbour *neighbour,
                                 uint64_t now)
@@ -188,7 +190,7 @@
            now - neighbour->last_heard < swarm->settings.neighbour_timeout_us;
 }
 
-/* Open chunks that a usable neighbour holds. \return false when there are none */
+/* Sets `offers` to the open chunks that a usable neighbour holds. \return false if none */
 static bool collect_offers(const struct swarm *swarm, uint64_t now, uint64_t *offers)
 {
     uint64_t any = 0;
@@ -207,8 +209,8 @@
     return any != 0;
 }
 
-/* The rarest of RAREST_SAMPLE_CHUNKS offered chunks from a random start on; among equally rare ones
- * any, as members that take the same ones have nothing to give each other. */
+/* The rarest of RAREST_SAMPLE_CHUNKS offered chunks, from a random start. Ties are broken at
+ * random: members that fetch the same chunks in the same order have nothing to exchange. */
 static uint32_t rarest_offer(struct swarm *swarm, const uint64_t *offers)
 {
     uint32_t best = UINT32_MAX;
@@ -313,7 +315,7 @@
         fill_requests(swarm, now);
 }
 
-/* ---- results ---- */
+/* ---- request results ---- */
 
 static void update_mean_chunk_time(struct swarm *swarm, uint64_t duration)
 {
@@ -348,7 +350,8 @@
     return true;
 }
 
-/* A link with bit errors now and then is used on; a peer with bad memory is not. */
+/* Occasional bit errors on a link are tolerated, a peer with faulty memory is not.
+ * \return whether the share of corrupt chunks is too high */
 static bool record_corrupt_chunk(struct neighbour *neighbour)
 {
     neighbour->corrupt++;
@@ -408,7 +411,7 @@
         swarm->counters.timeouts++;
         swarm->driver.cancel(swarm->driver.context, request.source, request.chunk);
         swarm_on_failure(swarm, now, request.source, request.chunk, SWARM_FAILURE_ERROR, 0);
-        i = 0; /* the table changed */
+        i = 0; /* swarm_on_failure() changed the table */
     }
 }
 
--- a/src/core/swarm.h
+++ b/src/core/swarm.h
@@ -1,14 +1,16 @@
 /**
  * Chunk scheduling for one version of one model on one machine.
  *
- * A swarm decides which chunk to fetch next and from whom: a peer or the origin. It holds no data,
- * clock or socket: the shell drives it with events, and it answers through `struct swarm_driver`.
- * Members are named by id (hash_name of the machine); SWARM_ORIGIN names the origin.
+ * A swarm decides which chunk to fetch next and from which source: a peer or the origin. It holds
+ * no data, clock or socket: the caller reports events to it, and it issues requests through
+ * `struct swarm_driver`. Members are identified by id (hash_name of the machine); SWARM_ORIGIN
+ * stands for the origin.
  *
- * Who reads a chunk from the origin is decided without talking. Each chunk has a ladder: the best
- * members by rendezvous weight, then the best two of the node's own region. The first `budget` read
- * at once; a later one first waits, then asks those before it, and reads only when none of them has
- * the chunk or is about to read it. So a split fleet gets one copy on each side.
+ * Which member reads a chunk from the origin is decided without coordination. Each chunk has a
+ * preference list: the members with the highest rendezvous weights, then the best two of the node's
+ * own region. The first `origin_budget` members read at once. A member of lower rank waits, then
+ * asks the members ranked before it, and reads from the origin only if none of them has the chunk
+ * or is about to read it. A partitioned fleet thus reads one copy on each side.
  *
  * Times are microseconds of any clock that does not step back. Not thread-safe: one owner.
  */
@@ -27,13 +29,14 @@
 #define SWARM_MAX_NEIGHBOURS 48
 #define SWARM_MAX_IN_FLIGHT 96
 
-/** Who may read which chunk from the origin; immutable and shared by reference count. */
+/** Preference lists of all chunks; immutable and shared by reference count. */
 struct swarm_plan;
 
 /**
- * \brief Rank members for every chunk of a rollout.
- * \param rollout key of the version, for example a hash of the manifest digest
+ * \brief Rank the members for every chunk of a rollout.
+ * \param rollout hash key of the version, for example a hash of the manifest digest
  * \param members sorted by id; copied
+ * \return a plan with one reference, to be released with swarm_plan_release()
  */
 struct swarm_plan *swarm_plan_create(uint64_t rollout, uint32_t chunk_count,
                                      const struct member *members, uint32_t member_count);
@@ -41,38 +44,39 @@
 void swarm_plan_release(struct swarm_plan *plan);
 
 struct swarm_settings {
-    uint32_t origin_budget;        /**< copies that the origin may give at once */
-    uint32_t download_window;      /**< chunk requests in flight */
-    uint32_t peer_window;          /**< requests in flight to one peer */
-    uint32_t upload_limit;         /**< uploads queued or running before "busy" */
-    uint32_t neighbours;           /**< peers chosen by this node */
-    uint64_t announce_us;          /**< least time between announcements */
-    uint64_t neighbour_timeout_us; /**< a silent neighbour is replaced after this */
-    uint64_t chunk_timeout_us;     /**< a request without its chunk is given up */
-    uint64_t busy_backoff_us;      /**< pause before a busy peer is asked again */
-    uint64_t origin_copy_us;       /**< time that the origin's link takes for one copy */
-    uint64_t origin_rank_delay_us; /**< wait of a later rank, for each rank before it */
-    uint64_t join_delay_us;        /**< wait for neighbours before the first origin read */
+    uint32_t origin_budget;   /**< members that may read a chunk from the origin at once */
+    uint32_t download_window; /**< maximum chunk requests in flight to neighbours */
+    uint32_t peer_window;     /**< maximum requests in flight to one peer */
+    uint32_t upload_limit; /**< queued or running uploads; further requests are refused as busy */
+    uint32_t neighbours;   /**< number of neighbours that this node selects */
+    uint64_t announce_us;  /**< minimum time between announcements to one neighbour */
+    uint64_t neighbour_timeout_us; /**< time without an announcement after which a neighbour is
+                                      replaced */
+    uint64_t chunk_timeout_us;     /**< maximum time of a request to a peer */
+    uint64_t busy_backoff_us;      /**< initial backoff for a busy peer */
+    uint64_t origin_copy_us;       /**< transfer time of one copy over the origin's link */
+    uint64_t origin_rank_delay_us; /**< delay per rank before a lower rank takes over */
+    uint64_t join_delay_us; /**< delay of the first origin read, to learn what neighbours hold */
 };
 
-/** Announcement to one neighbour; pointers are valid during the call only. */
+/** Announcement of held chunks to one neighbour; pointers are valid during the call only. */
 struct swarm_update {
     uint64_t rollout;
     uint32_t sequence;
     uint32_t upload_queue;
-    const uint64_t *have_all; /**< bitmap in a full update, else NULL */
-    uint32_t have_words;      /**< its length */
-    const uint32_t *have_new; /**< chunks since the last update */
+    const uint64_t *have_all; /**< bitmap of all held chunks in a full update, else NULL */
+    uint32_t have_words;      /**< length of `have_all` in words */
+    const uint32_t *have_new; /**< chunks received since the last update */
     uint32_t new_count;
     bool want_full; /**< the sender needs a full update */
 };
 
 enum swarm_failure {
-    SWARM_FAILURE_BUSY,    /**< the source has no upload slot now */
-    SWARM_FAILURE_PENDING, /**< the source will get the chunk itself */
+    SWARM_FAILURE_BUSY,    /**< the source has no free upload slot */
+    SWARM_FAILURE_PENDING, /**< the source is fetching the chunk */
     SWARM_FAILURE_ABSENT,  /**< the source does not have the chunk */
     SWARM_FAILURE_ERROR,   /**< refused, broken or timed out */
-    SWARM_FAILURE_CORRUPT, /**< the bytes did not match the digest */
+    SWARM_FAILURE_CORRUPT, /**< the bytes do not match the digest */
 };
 
 enum swarm_upload {
@@ -99,36 +103,42 @@
 
 struct swarm;
 
-/** \param seed of the node's own random choices; ties only */
+/** \param seed of the random choices between equally good chunks and peers */
 struct swarm *swarm_create(const struct swarm_settings *settings, uint64_t self, uint64_t rollout,
                            uint32_t chunk_count, uint64_t seed, const struct swarm_driver *driver);
 void swarm_destroy(struct swarm *swarm);
 
-/** \brief Chunks already held, for example shared with an older version; before swarm_start(). */
+/**
+ * \brief Mark a chunk as already held, for example one shared with an older version; before the
+ *        first swarm_set_plan().
+ */
 void swarm_mark_held(struct swarm *swarm, uint32_t chunk);
 
-/** \brief Give the first or a changed target set; retains the plan. */
+/** \brief Set the plan for the first or a changed set of members; retains the plan. */
 void swarm_set_plan(struct swarm *swarm, uint64_t now, struct swarm_plan *plan);
 
 void swarm_on_update(struct swarm *swarm, uint64_t now, uint64_t peer,
                      const struct swarm_update *update);
-/** \brief A chunk arrived and its digest was checked. \return false when it was already held. */
+/** \brief Report a received chunk whose digest matches. \return false if it was already held */
 bool swarm_on_chunk(struct swarm *swarm, uint64_t now, uint64_t source, uint32_t chunk);
-/** \param retry_after_us least wait that the source asked for, 0 when none */
+/** \param retry_after_us minimum delay that the source asked for, 0: none */
 void swarm_on_failure(struct swarm *swarm, uint64_t now, uint64_t source, uint32_t chunk,
                       enum swarm_failure failure, uint64_t retry_after_us);
-/** \brief Timeouts, announcements and later ranks; call at least every `announce_us`. */
+/**
+ * \brief Handle timeouts, announcements and reads due at lower ranks; call at least every
+ *        `announce_us`.
+ */
 void swarm_on_tick(struct swarm *swarm, uint64_t now);
 
-/** \brief Whether to serve a chunk to a peer. \param queue uploads queued or running now */
+/** \brief Whether to serve a chunk to a peer. \param queue number of uploads queued or running */
 enum swarm_upload swarm_admit_upload(const struct swarm *swarm, uint32_t chunk, uint32_t queue);
-/** \brief Uploads queued or running now; told to neighbours. */
+/** \brief Set the number of uploads queued or running, which is announced to neighbours. */
 void swarm_set_upload_queue(struct swarm *swarm, uint32_t queue);
 
 bool swarm_complete(const struct swarm *swarm);
 uint32_t swarm_held_count(const struct swarm *swarm);
 const struct swarm_counters *swarm_counters(const struct swarm *swarm);
-/** \brief Ids of the present neighbours. \return count, at most SWARM_MAX_NEIGHBOURS */
+/** \brief Ids of the current neighbours. \return count, at most SWARM_MAX_NEIGHBOURS */
 uint32_t swarm_neighbours(const struct swarm *swarm, uint64_t ids[SWARM_MAX_NEIGHBOURS]);
 
 #endif
--- a/src/core/swarm_assignments.c
+++ b/src/core/swarm_assignments.c
@@ -1,5 +1,6 @@
 /**
- * This node's places in the ladders of chunks: reading from the origin, and asking those before.
+ * Read assignments: the chunks whose preference lists name this node, when it reads them from the
+ * origin, and when it first asks the members ranked before it.
  */
 #include "core/swarm_internal.h"
 
@@ -9,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_PENDING_ANSWERS 8 /* "pending" answers before a later rank goes on */
+#define MAX_PENDING_ANSWERS 8 /* busy or pending answers of one member before the next is asked */
 
-/* ---- duties: this node's places in the ladders ---- */
+/* ---- list of assignments ---- */
 
 static void add_assignment(struct swarm *swarm, uint32_t chunk, uint32_t position,
                            uint32_t *capacity)
@@ -60,7 +61,7 @@
               compare_assignments);
 }
 
-/* ---- later ranks ---- */
+/* ---- probes and origin reads ---- */
 
 static bool is_unresponsive(const struct swarm *swarm, uint64_t id)
 {
@@ -94,7 +95,7 @@
     return NULL;
 }
 
-/* Ask the next entry before us, or read from the origin when none is left. */
+/* Asks the next member ranked before this node, or reads from the origin if none is left. */
 static void advance_assignment(struct swarm *swarm, uint64_t now,
                                struct read_assignment *assignment)
 {
@@ -113,8 +114,8 @@
     swarm_start_request(swarm, now, source, assignment->chunk, !from_origin);
 }
 
-/* With a budget of several copies the origin is one more uploader, used even for what neighbours
- * hold. Otherwise it is read only for what nobody near has. */
+/* With an origin budget of several copies, the origin serves as an additional uploader, even for
+ * chunks that neighbours hold. Otherwise it is read only for chunks that no neighbour has. */
 static bool assignment_is_due(const struct swarm *swarm, const struct read_assignment *assignment,
                               uint64_t now)
 {
@@ -151,7 +152,7 @@
                              enum swarm_failure failure)
 {
     struct read_assignment *assignment = find_assignment(swarm, request->chunk);
-    if (!assignment || !assignment->asking) /* asked under an earlier plan */
+    if (!assignment || !assignment->asking) /* requested under an earlier plan */
         return;
     assignment->asking = false;
     if (request->source == SWARM_ORIGIN)
--- a/src/core/swarm_internal.h
+++ b/src/core/swarm_internal.h
@@ -1,6 +1,6 @@
 /**
- * State of a swarm, shared by swarm.c (requests), swarm_neighbours.c (who holds what) and
- * swarm_duties.c (this node's places in the ladders).
+ * State of a swarm, shared by swarm.c (requests), swarm_neighbours.c (neighbours and their chunks)
+ * and swarm_assignments.c (chunks that this node may read from the origin).
  */
 #ifndef SHUNTRUN_SWARM_INTERNAL_H
 #define SHUNTRUN_SWARM_INTERNAL_H
@@ -16,17 +16,17 @@
     uint32_t have_count;
     uint16_t zone;
     uint16_t region;
-    bool chosen;     /* by this node; else it chose us */
-    bool needs_full; /* our next update must be full */
-    bool wants_full; /* we lost track of its set */
+    bool chosen;     /* selected by this node, otherwise by the neighbour */
+    bool needs_full; /* the next update to it must be full */
+    bool wants_full; /* its chunk set is out of date: ask for a full update */
     uint32_t in_flight;
     uint32_t upload_queue; /* as last announced */
-    uint32_t corrupt;      /* chunks with wrong bytes */
-    uint32_t received;     /* chunks with right bytes */
-    uint32_t refusals;     /* in a row */
+    uint32_t corrupt;      /* chunks received that did not match their digest */
+    uint32_t received;     /* chunks received that matched */
+    uint32_t refusals;     /* consecutive */
     uint32_t sequence_in;
     uint32_t sequence_out;
-    uint32_t announced; /* length of our arrival log that it has seen */
+    uint32_t announced; /* number of entries of `arrivals` sent to it */
     uint64_t backoff_until;
     uint64_t last_heard;
     uint64_t last_sent;
@@ -35,17 +35,17 @@
 struct request {
     uint64_t source;
     uint32_t chunk;
-    bool probe; /* asked as a later rank, not as a neighbour's offer */
+    bool probe; /* sent to a member ranked before this node, not for an announced chunk */
     uint64_t started;
     uint64_t deadline;
 };
 
-/* This node's place in the ladder of one chunk. */
+/* A chunk whose preference list names this node. */
 struct read_assignment {
     uint32_t chunk;
-    uint8_t position;
-    uint8_t next; /* ladder entry to ask next; == position: read from the origin */
-    uint8_t pending;
+    uint8_t position; /* of this node in the preference list */
+    uint8_t next;     /* entry of the preference list to ask next; == position: the origin */
+    uint8_t pending;  /* consecutive busy or pending answers */
     bool asking;
     uint64_t not_before;
 };
@@ -65,7 +65,7 @@
     uint64_t started;
     uint64_t *have;
     uint64_t *open;         /* missing and not in flight */
-    uint16_t *availability; /* neighbours that hold each chunk */
+    uint16_t *availability; /* number of neighbours that hold each chunk */
     uint32_t *arrivals;     /* chunks in order of arrival */
     uint32_t held;
     uint32_t upload_queue;
@@ -79,7 +79,7 @@
     uint64_t mean_chunk_us;
     struct read_assignment *assignments;
     uint32_t assignment_count;
-    uint64_t *unresponsive; /* members that did not answer as ladder entries */
+    uint64_t *unresponsive; /* ids of members whose probes failed */
     uint32_t unresponsive_count;
 };
 
@@ -93,11 +93,11 @@
 void swarm_drop_former_members(struct swarm *swarm);
 void swarm_replace_silent_neighbours(struct swarm *swarm, uint64_t now);
 void swarm_send_announcements(struct swarm *swarm, uint64_t now);
-/** \brief Take an update in. \return false when it is not of this rollout or from no member */
+/** \return false if the update is for another rollout or its sender is not a member */
 bool swarm_apply_update(struct swarm *swarm, uint64_t now, uint64_t peer,
                         const struct swarm_update *update);
 
-/* swarm_duties.c */
+/* swarm_assignments.c */
 void swarm_collect_assignments(struct swarm *swarm);
 void swarm_start_due_assignments(struct swarm *swarm, uint64_t now);
 void swarm_drop_completed_assignments(struct swarm *swarm, uint32_t chunk);
--- a/src/core/swarm_neighbours.c
+++ b/src/core/swarm_neighbours.c
@@ -1,5 +1,5 @@
 /**
- * Who holds what: neighbours of a swarm, their have-sets, and announcements to them.
+ * Neighbours of a swarm, the chunks that they hold, and announcements to them.
  */
 #include "core/swarm_internal.h"
 
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_UPDATE_INTERVAL 64 /* every so many updates are full, against lost state */
+#define FULL_UPDATE_INTERVAL 64 /* one update in so many is full, to repair lost state */
 
 /* ---- neighbours ---- */
 
@@ -104,7 +104,7 @@
             remove_neighbour(swarm, neighbour);
             continue;
         }
-        /* A chosen one stays as it may come back, but no longer counts as chosen. */
+        /* A selected neighbour is kept, as it may recover, but is no longer counted as selected. */
         if (silent) {
             neighbour->chosen = false;
             neighbour->last_heard = now;
@@ -143,7 +143,7 @@
     swarm->driver.announce(swarm->driver.context, neighbour->id, &update);
 }
 
-/* News goes out at once, but not more often than `announce_us`; without news as a heartbeat. */
+/* New chunks are announced at once, but at most every `announce_us`; otherwise sends heartbeats. */
 void swarm_send_announcements(struct swarm *swarm, uint64_t now)
 {
     uint64_t heartbeat = swarm->settings.neighbour_timeout_us / 4;
@@ -193,7 +193,7 @@
         replace_have_set(swarm, neighbour, update->have_all);
         neighbour->wants_full = false;
     } else if (update->sequence != neighbour->sequence_in + 1) {
-        neighbour->wants_full = true; /* an update was lost or came out of order */
+        neighbour->wants_full = true; /* an update was lost or reordered */
     }
     for (uint32_t i = 0; i < update->new_count; i++)
         record_neighbour_chunk(swarm, neighbour, update->have_new[i]);
--- a/src/core/swarm_plan.c
+++ b/src/core/swarm_plan.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Keep the `size` members of greatest weight, best first. */
+/* Keeps the `size` members with the highest weights, in descending order. */
 static void insert_rank(uint32_t *ranks, uint64_t *weights, uint32_t size, uint32_t member,
                         uint64_t weight)
 {
--- a/src/core/swarm_plan.h
+++ b/src/core/swarm_plan.h
@@ -1,5 +1,5 @@
 /**
- * Inside view of a plan, for the swarm and its tests.
+ * Representation of a swarm plan, for the swarm and its tests.
  */
 #ifndef SHUNTRUN_SWARM_PLAN_H
 #define SHUNTRUN_SWARM_PLAN_H
@@ -24,8 +24,9 @@
 uint32_t swarm_plan_find(const struct swarm_plan *plan, uint64_t id);
 
 /**
- * \brief The ladder of one chunk for a node of `region`, without repeats.
- * \return its length; `ladder` holds member indexes
+ * \brief Preference list of one chunk for a node of `region`, without duplicates.
+ * \param preferences filled with member indexes
+ * \return its length
  */
 uint32_t swarm_plan_preference_list(const struct swarm_plan *plan, uint32_t chunk, uint16_t region,
                                     uint32_t preferences[SWARM_PREFERENCE_LIST_SIZE]);
--- a/tests/core/relay_plan_test.c
+++ b/tests/core/relay_plan_test.c
@@ -1,4 +1,4 @@
-/* Who hands on weights, and where each node takes a piece from. */
+/* Relay selection, and the sources of pieces and of the manifest for relays and loaders. */
 #include "testing.h"
 
 #include "core/fleet_members.h"
@@ -52,7 +52,7 @@
 {
     struct relay_plan plan;
     refresh_plan_of(FLEET_GATEWAYS, two_fast_gateways_per_region, &plan);
-    /* 26 loaders of a region take 182 Mbit/s: half more is less than two links of 200. */
+    /* 26 loaders of a region have 182 Mbit/s in all; 150% of that is less than two links of 200. */
     for (uint32_t address = 1; address <= 2 * FLEET_REGIONS; address++)
         assert_true(has_relay(&plan, address));
 }
@@ -61,7 +61,7 @@
 {
     struct relay_plan plan;
     refresh_plan_of(FLEET_GATEWAYS, only_slow_gateways, &plan);
-    /* 25 or 26 loaders of a region take 200 Mbit/s: half more is eight links of 40. */
+    /* 25 or 26 loaders of a region have 200 Mbit/s in all; 150% of that is eight links of 40. */
     assert_in_range(plan.count, 8 * FLEET_REGIONS, 9 * FLEET_REGIONS);
 }
 
@@ -72,7 +72,8 @@
     assert_int_equal(plan.count, 2 * FLEET_REGIONS);
 }
 
-/* Count, over all relays, where one piece is taken from. */
+/* Counts over all relays how many have the origin, or a relay of another region, as the first
+ * source of a piece. */
 static void count_sources(const struct relay_plan *all, uint32_t piece, uint32_t *from_origin,
                           uint32_t *crossings)
 {
@@ -101,7 +102,7 @@
     }
 }
 
-/* Its link is narrow: the answers to many would wait for each other. */
+/* The origin's link is slow: its responses to many relays would queue behind each other. */
 static void one_relay_of_each_region_reads_from_the_origin(void **state)
 {
     struct relay_plan plan;
@@ -185,7 +186,8 @@
     return index < FLEET_REGIONS ? 400 : 40;
 }
 
-/* Some 26 loaders of a region take 312 Mbit/s: half more is one link of 400 and two of 40. */
+/* About 26 loaders of a region have 312 Mbit/s in all; 150% of that is one link of 400 and two of
+ * 40. */
 static void loaders_are_spread_over_relays_in_proportion_to_link_rates(void **state)
 {
     uint32_t at_fast = 0, loaders = 0;
@@ -197,7 +199,7 @@
         at_fast += sources.addresses[0] <= FLEET_REGIONS;
         loaders++;
     }
-    /* 400 of 480 in the mean; one of three without regard to the links. */
+    /* The expected share is 400 of 480; it would be one of three if link rates were ignored. */
     assert_in_range(at_fast, loaders * 2 / 3, loaders * 9 / 10);
 }
 
--- a/tests/core/swarm_test.c
+++ b/tests/core/swarm_test.c
@@ -10,7 +10,7 @@
 #define MEMBERS 6
 #define ROLLOUT 77
 
-/* What the swarm asked its shell to do. */
+/* Records the calls of the swarm to its driver. */
 struct recorder {
     uint64_t sources[256];
     uint32_t chunks[256];
@@ -133,7 +133,8 @@
     swarm_plan_release(plan);
 }
 
-/* Failed before: the answer moved the new plan's ladder past its end. */
+/* A response to a request of the earlier plan advanced the assignment of the new plan past the end
+ * of its preference list. */
 static void a_response_to_a_request_of_an_earlier_plan_is_ignored(void **state)
 {
     struct recorder recorder = {0};
@@ -168,7 +169,7 @@
     swarm_destroy(swarm);
 }
 
-/* Failed before: three corrupt chunks in a rollout put a peer aside for good. */
+/* Three corrupt chunks in a rollout excluded a peer permanently, whatever their share. */
 static void a_peer_with_a_low_share_of_corrupt_chunks_stays_in_use(void **state)
 {
     struct recorder recorder = {0};
@@ -181,7 +182,7 @@
         uint32_t last = recorder.fetches - 1;
         if (recorder.sources[last] == peers[0])
             swarm_on_failure(swarm, now, peers[0], recorder.chunks[last], SWARM_FAILURE_CORRUPT, 0);
-        now += 20000000; /* longer than any pause */
+        now += 20000000; /* longer than any backoff */
     }
     uint32_t before = recorder.fetches;
     peer_has(swarm, now, peers[0], 0xff);
