--- a/src/core/bitmap.h
+++ b/src/core/bitmap.h
@@ -1,5 +1,5 @@
 /**
- * Fixed-size bitmaps in 64-bit words. Bits past the size are always zero.
+ * Bitmaps of fixed size in 64-bit words. Unused bits of the last word are always zero.
  */
 #ifndef SHUNTRUN_BITMAP_H
 #define SHUNTRUN_BITMAP_H
@@ -10,6 +10,7 @@
 
 #define BITMAP_WORD_BITS 64
 
+/** \return number of words of a bitmap */
 static inline size_t bitmap_words(size_t bits)
 {
     return (bits + BITMAP_WORD_BITS - 1) / BITMAP_WORD_BITS;
@@ -30,6 +31,7 @@
     words[bit / BITMAP_WORD_BITS] &= ~(1ULL << (bit % BITMAP_WORD_BITS));
 }
 
+/** \return number of bits that are set */
 static inline size_t bitmap_count(const uint64_t *words, size_t bits)
 {
     size_t count = 0;
--- a/src/core/digest.c
+++ b/src/core/digest.c
@@ -8,7 +8,7 @@
 {
     struct digest digest;
     if (!EVP_Digest(bytes, size, digest.bytes, NULL, EVP_sha256(), NULL))
-        abort(); /* only when libcrypto cannot allocate */
+        abort(); /* fails only if libcrypto cannot allocate memory */
     return digest;
 }
 
@@ -39,12 +39,12 @@
 enum status digest_from_hex(const char *hex, struct digest *digest)
 {
     if (!hex || strlen(hex) != 2 * DIGEST_SIZE)
-        return status_fail(STATUS_INVALID, "a digest has 64 hex digits");
+        return status_fail(STATUS_INVALID, "a digest must have 64 hex digits");
     for (size_t i = 0; i < DIGEST_SIZE; i++) {
         int high = hex_value(hex[2 * i]);
         int low = hex_value(hex[2 * i + 1]);
         if (high < 0 || low < 0)
-            return status_fail(STATUS_INVALID, "a digest has lower-case hex digits only");
+            return status_fail(STATUS_INVALID, "a digest must have lower-case hex digits only");
         digest->bytes[i] = (uint8_t)(high << 4 | low);
     }
     return STATUS_OK;
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -1,5 +1,5 @@
 /**
- * SHA-256 digests: the name of every chunk and manifest.
+ * SHA-256 digests, which identify chunks and manifests.
  */
 #ifndef SHUNTRUN_DIGEST_H
 #define SHUNTRUN_DIGEST_H
@@ -20,10 +20,10 @@
 struct digest digest_of(const void *bytes, size_t size);
 bool digest_equal(const struct digest *left, const struct digest *right);
 
-/** \brief Lower-case hex with a closing zero. */
+/** \brief Write lower-case hex digits and a terminating zero. */
 void digest_to_hex(const struct digest *digest, char hex[DIGEST_HEX_SIZE]);
 
-/** \return STATUS_INVALID unless `hex` is exactly 64 hex digits. */
+/** \return STATUS_INVALID unless `hex` has exactly 64 lower-case hex digits; it may be NULL */
 enum status digest_from_hex(const char *hex, struct digest *digest);
 
 #endif
--- a/src/core/document.c
+++ b/src/core/document.c
@@ -7,7 +7,7 @@
 #include <zstd.h>
 
 #define COMPRESSION_LEVEL 3
-#define WINDOW_LOG 22 /* covers base and body of DOCUMENT_MAX_BYTES */
+#define WINDOW_LOG 22 /* 4 MiB: covers a base and a body of DOCUMENT_MAX_BYTES each */
 
 uint64_t document_revision(const struct document *document)
 {
@@ -53,7 +53,7 @@
 {
     const struct document_version *newest = &document->versions[0];
     if (newest->revision <= known_revision)
-        return status_fail(STATUS_NOT_FOUND, "nothing newer");
+        return status_fail(STATUS_NOT_FOUND, "no newer revision");
     const struct document_version *base = find_version(document, known_revision);
     size_t bound = ZSTD_compressBound(newest->size);
     uint8_t *packed = memory_zero(bound, 1);
@@ -66,7 +66,8 @@
     ZSTD_freeCCtx(compressor);
     if (ZSTD_isError(packed_size)) {
         free(packed);
-        return status_fail(STATUS_IO, "compression: %s", ZSTD_getErrorName(packed_size));
+        return status_fail(STATUS_IO, "document compression failed: %s",
+                           ZSTD_getErrorName(packed_size));
     }
     struct digest digest = digest_of(newest->body, newest->size);
     reply->revision = newest->revision;
@@ -88,10 +89,10 @@
         ZSTD_decompressDCtx(decompressor, body, reply->length, reply->body.data, reply->body.len);
     ZSTD_freeDCtx(decompressor);
     if (ZSTD_isError(size) || size != reply->length)
-        return status_fail(STATUS_CORRUPT, "a document from a peer does not decompress");
+        return status_fail(STATUS_CORRUPT, "document from peer cannot be decompressed");
     struct digest digest = digest_of(body, size);
     if (reply->digest.len != DIGEST_SIZE || memcmp(reply->digest.data, digest.bytes, DIGEST_SIZE))
-        return status_fail(STATUS_CORRUPT, "a document from a peer does not match its digest");
+        return status_fail(STATUS_CORRUPT, "document from peer does not match its digest");
     return STATUS_OK;
 }
 
@@ -100,9 +101,9 @@
 {
     const struct document_version *base = find_version(document, reply->base_revision);
     if (reply->base_revision && !base)
-        return status_fail(STATUS_NOT_FOUND, "the base revision is not held any more");
+        return status_fail(STATUS_NOT_FOUND, "base revision is no longer in the history");
     if (reply->length > DOCUMENT_MAX_BYTES)
-        return status_fail(STATUS_EXHAUSTED, "a document from a peer is too large");
+        return status_fail(STATUS_EXHAUSTED, "document from peer is too large");
     char *buffer = memory_zero(reply->length + 1, 1);
     enum status status = decompress(base, reply, buffer);
     if (status != STATUS_OK) {
--- a/src/core/document.h
+++ b/src/core/document.h
@@ -1,6 +1,6 @@
 /**
- * A document that the platform publishes (configuration, machine list) as one node holds it:
- * the newest accepted revision, a short history for deltas, and the rule that it never goes back.
+ * Local copy of a document that the platform publishes (configuration, machine list): the newest
+ * accepted revision and a short history for deltas. Revisions only increase.
  */
 #ifndef SHUNTRUN_DOCUMENT_H
 #define SHUNTRUN_DOCUMENT_H
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define DOCUMENT_HISTORY 4
+#define DOCUMENT_HISTORY 4 /**< revisions kept, the newest included */
 #define DOCUMENT_MAX_BYTES (2 * 1024 * 1024)
 
 struct document_version {
@@ -24,35 +24,40 @@
 
 struct document {
     struct document_version versions[DOCUMENT_HISTORY]; /**< newest first */
-    uint64_t rejected_revision; /**< newest revision that was refused as invalid */
+    uint64_t rejected_revision;                         /**< newest revision rejected as invalid */
 };
 
-/** \return newest accepted revision, 0 when nothing is held */
+/** \return newest accepted revision, 0: none */
 uint64_t document_revision(const struct document *document);
 
-/** \brief Whether a revision is news: greater than the accepted and the refused one. */
+/** \return whether a revision is greater than the newest accepted and the newest rejected one */
 bool document_is_new_revision(const struct document *document, uint64_t revision);
 
 /**
- * \brief Keep a body that was checked by the caller.
- * \return STATUS_STALE when the revision is not greater than the one held
+ * \brief Store a body that the caller has validated.
+ * \param body copied
+ * \return STATUS_STALE if the revision is not greater than the newest accepted one
  */
 enum status document_accept(struct document *document, uint64_t revision, const char *body,
                             size_t size);
+/** \brief Record that a revision is invalid. */
 void document_reject(struct document *document, uint64_t revision);
 
 /**
- * \brief Answer a peer: a delta when its revision is in the history, else a whole.
+ * \brief Fill the reply to a peer: a delta if the peer's revision is in the history, otherwise the
+ *        whole body. The body is compressed in both cases.
  * \param reply filled; `reply->body.data` and `reply->digest.data` are released by the caller with
  *        free()
- * \return STATUS_NOT_FOUND when the peer has all that is held here
+ * \return STATUS_NOT_FOUND if no newer revision is held, STATUS_IO if compression fails
  */
 enum status document_encode(const struct document *document, uint64_t known_revision,
                             Shuntrun__DocumentReply *reply);
 
 /**
- * \brief Rebuild a body from a peer's answer, checked against its digest.
+ * \brief Decompress a body from a peer's reply and verify its digest.
  * \param body owned by the caller with STATUS_OK
+ * \return STATUS_NOT_FOUND if the base revision is not in the history, STATUS_EXHAUSTED if the body
+ *         exceeds DOCUMENT_MAX_BYTES, STATUS_CORRUPT if it does not decompress or match its digest
  */
 enum status document_decode(const struct document *document, const Shuntrun__DocumentReply *reply,
                             char **body, size_t *size);
--- a/src/core/fetch_order.h
+++ b/src/core/fetch_order.h
@@ -1,8 +1,9 @@
 /**
- * Which of several versions of the weights a loader fetches first, when more than one is missing.
+ * Selects the version of the weights that a loader fetches first, when more than one is missing.
  *
- * The newest one wins, as an older one would be replaced at once. It loses to an older one that is
- * half here, and when it does not come: the origin may be gone since it was named.
+ * The newest version is preferred, as it would replace an older one at once. There are two
+ * exceptions: an older version of which half is fetched is completed first, and a version that
+ * makes no progress is skipped, as its origin may be gone since it was announced.
  */
 #ifndef SHUNTRUN_FETCH_ORDER_H
 #define SHUNTRUN_FETCH_ORDER_H
@@ -10,17 +11,19 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** No version goes first: all are tried. */
+/** No version is preferred: all are tried. */
 #define FETCH_ORDER_NONE UINT32_MAX
 
 struct fetch_state {
     bool complete;
     bool half_fetched;
-    uint64_t wanted_at;   /**< time at which the version was heard of */
-    uint64_t progress_at; /**< time of the last piece, 0: none came yet */
+    uint64_t wanted_at;   /**< time at which this node learned of the version */
+    uint64_t progress_at; /**< arrival time of the last piece, 0: none yet */
 };
 
-/** \return whether pieces are missing and come, or may still come soon after the version was named
+/**
+ * \return whether the version is incomplete, and a piece arrived or the version was learned of
+ *         within the last `stall_timeout_us`
  */
 static inline bool fetch_is_progressing(const struct fetch_state *state, uint64_t stall_timeout_us,
                                         uint64_t now)
@@ -30,9 +33,9 @@
 }
 
 /**
- * \param states of the versions that are wanted, oldest first
- * \param stall_timeout_us without a piece for so long, a version does not progress
- * \return index of the one version that goes first, or FETCH_ORDER_NONE
+ * \param states of the wanted versions, oldest first
+ * \param stall_timeout_us time without a piece after which a version counts as stalled
+ * \return index of the version to fetch first, or FETCH_ORDER_NONE
  */
 static inline uint32_t fetch_order_select(const struct fetch_state *states, uint32_t count,
                                           uint64_t stall_timeout_us, uint64_t now)
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -30,7 +30,7 @@
     const json_t *value = json_object_get(object, key);
     json_int_t port = json_integer_value(value);
     if (value && (port < 1 || port > UINT16_MAX))
-        findings_add(findings, FINDING_ERROR, location, "`%s` is no port", key);
+        findings_add(findings, FINDING_ERROR, location, "`%s` is not a valid port", key);
     return (uint16_t)port;
 }
 
@@ -46,7 +46,7 @@
     for (size_t i = 0; i < json_array_size(list); i++) {
         const char *name = json_string_value(json_array_get(list, i));
         if (!name || strlen(name) >= FLEET_NAME_SIZE) {
-            findings_add(findings, FINDING_ERROR, location, "service %zu is no name", i);
+            findings_add(findings, FINDING_ERROR, location, "service %zu is not a valid name", i);
             continue;
         }
         strcpy(machine->services[machine->service_count++], name);
@@ -93,7 +93,7 @@
 {
     for (uint32_t i = 1; i < fleet->count; i++)
         if (fleet->machines[i].id == fleet->machines[i - 1].id)
-            findings_add(findings, FINDING_ERROR, "machines", "`%s` is listed twice",
+            findings_add(findings, FINDING_ERROR, "machines", "`%s` is listed more than once",
                          fleet->machines[i].name);
 }
 
@@ -107,7 +107,7 @@
     if (!root)
         findings_add(findings, FINDING_ERROR, "machines", "line %d: %s", error.line, error.text);
     else if (!json_is_array(list))
-        findings_add(findings, FINDING_ERROR, "machines", "`machines` is no list");
+        findings_add(findings, FINDING_ERROR, "machines", "`machines` is not a list");
 
     struct fleet parsed = {0};
     parsed.count = (uint32_t)json_array_size(list);
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -1,8 +1,8 @@
 /**
- * The machine list: which machines exist, where, and with what role. Read from the platform, which
- * may lag; what a node says of itself goes before it.
+ * The machine list: name, location and role of each machine. It is read from the platform and may
+ * be out of date; what a node reports about itself has precedence.
  *
- * Wire form (JSON): {"machines": [{"name", "role": "agent"|"gateway", "zone", "region", "rack",
+ * Format (JSON): {"machines": [{"name", "role": "agent"|"gateway", "zone", "region", "rack",
  * "address", "control_port", "traffic_port", "http_port", "accelerators", "pool", "services": [],
  * "state": "live"|"leaving"}, ...]}
  */
@@ -45,16 +45,21 @@
     uint32_t count;
 };
 
-/** \brief Parse a machine list; all problems go to `findings` with their JSON place. */
+/**
+ * \brief Parse a machine list.
+ * \param fleet filled with STATUS_OK only, to be released with fleet_clear()
+ * \param findings all errors are added to these, with their location in the JSON
+ * \return STATUS_INVALID if there are errors
+ */
 enum status fleet_parse(const char *text, size_t size, struct fleet *fleet,
                         struct findings *findings);
 
-/** \return index in the list, or -1. */
+/** \return index of a machine, -1: not in the list */
 int64_t fleet_find(const struct fleet *fleet, uint64_t id);
 
 void fleet_clear(struct fleet *fleet);
 
-/** \brief Sort by id; needed after filling `machines` by hand. */
+/** \brief Sort by id; required after `machines` was filled other than by fleet_parse(). */
 void fleet_sort(struct fleet *fleet);
 
 #endif
--- a/src/core/fleet_config.c
+++ b/src/core/fleet_config.c
@@ -11,7 +11,7 @@
 #define MAX_LIST_LENGTH 4096
 #define MAX_TENANT_WEIGHT 1000000
 
-/* Where a problem is: "name: models[2]". */
+/* Location of an error, printed as "file: list[index].key". */
 struct location {
     const char *file;
     const char *list;
@@ -35,7 +35,7 @@
     if (!value && !required)
         return;
     if (!text || !*text || strlen(text) >= CONFIG_NAME_SIZE)
-        report(location, key, "must be a text of 1 to 63 characters");
+        report(location, key, "must be a string of 1 to 63 characters");
     else
         strcpy(target, text);
 }
@@ -50,7 +50,7 @@
     if (!json_is_integer(value) || number < 0 || (uint64_t)number < least ||
         (uint64_t)number > most) {
         char text[96];
-        snprintf(text, sizeof text, "must be a whole number from %llu to %llu",
+        snprintf(text, sizeof text, "must be an integer from %llu to %llu",
                  (unsigned long long)least, (unsigned long long)most);
         report(location, key, text);
         return default_value;
@@ -86,7 +86,7 @@
         if (name)
             service->machines[service->machine_count++] = hash_name(name);
         else
-            report(location, "machines", "must be names");
+            report(location, "machines", "must be strings");
     }
     ids_sort(service->machines, service->machine_count);
 }
@@ -125,10 +125,10 @@
     objective->first_token_ms =
         (uint32_t)read_number(object, "first_token_ms", 1, 600000, 840, location);
     if (objective->availability <= 0 || objective->availability >= 1)
-        report(location, "availability", "must lie between 0 and 1");
+        report(location, "availability", "must be greater than 0 and less than 1");
 }
 
-/* Allocate one element for each object of the list `place->list`. */
+/* Allocates one element for each object of the list named `location->list`. */
 static void *allocate_list(const json_t *root, struct location *location, size_t size,
                            uint32_t *count)
 {
@@ -138,7 +138,7 @@
     if (list && !json_is_array(list))
         report(location, "", "must be a list");
     if (length > MAX_LIST_LENGTH) {
-        report(location, "", "is longer than 4096");
+        report(location, "", "has more than 4096 elements");
         length = 0;
     }
     *count = (uint32_t)length;
@@ -193,13 +193,13 @@
         const struct service_config *service = &config->services[i];
         location->index = i;
         if (service->kind == SERVICE_MODEL && !fleet_config_model(config, service->model))
-            report(location, "model", "names no model of this configuration");
+            report(location, "model", "is not a model of this configuration");
     }
     location->list = "objectives";
     for (uint32_t i = 0; i < config->objective_count; i++) {
         location->index = i;
         if (!fleet_config_service(config, config->objectives[i].service))
-            report(location, "service", "names no service of this configuration");
+            report(location, "service", "is not a service of this configuration");
     }
 }
 
@@ -210,7 +210,7 @@
             for (uint32_t j = 0; j < i; j++)                                                       \
                 if (strcmp((items)[i].name, (items)[j].name) == 0) {                               \
                     (location)->index = i;                                                         \
-                    report((location), "name", "stands twice");                                    \
+                    report((location), "name", "is a duplicate");                                  \
                 }                                                                                  \
     } while (0)
 
@@ -237,13 +237,13 @@
     json_error_t error;
     json_t *root = NULL;
     if (size > CONFIG_MAX_BYTES)
-        findings_add(findings, FINDING_ERROR, name, "larger than %d bytes", CONFIG_MAX_BYTES);
+        findings_add(findings, FINDING_ERROR, name, "is larger than %d bytes", CONFIG_MAX_BYTES);
     else if (!(root = json_loadb(text, size, JSON_REJECT_DUPLICATES, &error))) {
         char where[256];
         snprintf(where, sizeof where, "%s:%d", name, error.line);
         findings_add(findings, FINDING_ERROR, where, "%s", error.text);
     } else if (!json_is_object(root)) {
-        findings_add(findings, FINDING_ERROR, name, "is no JSON object");
+        findings_add(findings, FINDING_ERROR, name, "is not a JSON object");
     } else {
         read_root(root, &parsed, &location);
     }
--- a/src/core/hash.h
+++ b/src/core/hash.h
@@ -1,5 +1,5 @@
 /**
- * Placement hashing: node identities and rendezvous weights, with XXH3 of libxxhash.
+ * Hashes for node ids and rendezvous weights, with XXH3 of libxxhash.
  */
 #ifndef SHUNTRUN_HASH_H
 #define SHUNTRUN_HASH_H
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/** \brief Identity of a node or machine: the hash of its unique name. */
+/** \brief Id of a node or machine: the hash of its unique name. */
 static inline uint64_t hash_name(const char *name)
 {
     return XXH3_64bits(name, strlen(name));
--- a/src/core/link_rate.h
+++ b/src/core/link_rate.h
@@ -1,6 +1,6 @@
 /**
- * The rate of this machine's link, estimated from transfers, and whether it is much below what it
- * should be.
+ * Estimates the rate of this machine's link from transfers, and detects a link that is much slower
+ * than its nominal rate.
  */
 #ifndef SHUNTRUN_LINK_RATE_H
 #define SHUNTRUN_LINK_RATE_H
@@ -9,19 +9,19 @@
 #include <stdint.h>
 
 struct link_rate {
-    double nominal;   /**< bits a microsecond; 0: not known */
-    double estimated; /**< bits a microsecond; 0 before the first transfer */
+    double nominal;   /**< Mbit/s; 0: unknown */
+    double estimated; /**< Mbit/s; 0 before the first transfer */
 };
 
-/** Weight of a new transfer in the estimate. */
+/** Weight of a new transfer in the exponentially weighted moving average. */
 #define LINK_RATE_EWMA_WEIGHT 0.4
-/** Below this share of its nominal rate a link counts as slow. */
+/** Share of the nominal rate below which a link counts as slow. */
 #define LINK_RATE_SLOW_SHARE 0.35
 
 /**
- * \brief Take a transfer into account.
- * \param transfer_us from its first to its last byte
- * \param parallel transfers that shared the link, this one included
+ * \brief Update the estimate with a transfer.
+ * \param transfer_us time from its first to its last byte; 0: ignored
+ * \param parallel number of transfers that shared the link, including this one
  */
 static inline void link_rate_add(struct link_rate *rate, uint64_t bytes, uint64_t transfer_us,
                                  uint32_t parallel)
--- a/src/core/manifest.c
+++ b/src/core/manifest.c
@@ -24,9 +24,10 @@
     if (total <= 0 || chunk <= 0)
         return status_fail(STATUS_INVALID, "manifest: sizes must be positive");
     if (count == 0 || count > MANIFEST_MAX_CHUNKS)
-        return status_fail(STATUS_INVALID, "manifest: 1 to %d chunks", MANIFEST_MAX_CHUNKS);
+        return status_fail(STATUS_INVALID, "manifest: must list 1 to %d chunks",
+                           MANIFEST_MAX_CHUNKS);
     if ((uint64_t)(total - 1) / (uint64_t)chunk + 1 != count)
-        return status_fail(STATUS_INVALID, "manifest: sizes and chunk count disagree");
+        return status_fail(STATUS_INVALID, "manifest: sizes do not match the number of chunks");
     manifest->total_bytes = (uint64_t)total;
     manifest->chunk_bytes = (uint64_t)chunk;
     manifest->chunk_count = (uint32_t)count;
@@ -40,7 +41,7 @@
     for (uint32_t i = 0; i < manifest->chunk_count; i++) {
         const char *hex = json_string_value(json_array_get(list, i));
         if (digest_from_hex(hex, &manifest->chunks[i]) != STATUS_OK)
-            return status_fail(STATUS_INVALID, "manifest: chunk %u is no digest", i);
+            return status_fail(STATUS_INVALID, "manifest: chunk %u is not a valid digest", i);
     }
     return STATUS_OK;
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -23,7 +23,7 @@
     return a->id < b->id ? -1 : a->id > b->id;
 }
 
-/* Weighted rendezvous: -weight / ln(u) with u uniform in (0, 1). */
+/* Weighted rendezvous hashing: -weight / ln(u) with u uniform in (0, 1). */
 static double weighted_score(uint64_t hash, double weight)
 {
     double uniform = ((double)(hash >> 11) + 0.5) * 0x1.0p-53;
@@ -36,13 +36,14 @@
                                         "policy weight 0",
                                         "leaving",
                                         "no free accelerators",
-                                        "zone is at its bound",
-                                        "enough replicas rank higher",
-                                        "has no engine"};
+                                        "zone has its maximum of replicas",
+                                        "enough machines rank higher",
+                                        "no engine"};
     return texts[reason];
 }
 
-/* Distinct texts at one place of all machines; there are few of them. */
+/* Number of distinct strings in the field at `offset` of all machines. Linear search: there are
+ * few. */
 static uint32_t count_distinct(const struct fleet *fleet, size_t offset)
 {
     const char **names = memory_zero(fleet->count, sizeof *names);
@@ -70,7 +71,7 @@
     return summary;
 }
 
-/* Replicas already chosen in the zone of `machine`. */
+/* Number of replicas already placed in a zone. */
 static uint32_t replicas_in_zone(const struct fleet *fleet, const struct model_placement *placement,
                                  const char *zone)
 {
--- a/src/core/policy.c
+++ b/src/core/policy.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOOK_INTERVAL_INSTRUCTIONS 1000
+#define HOOK_INTERVAL_INSTRUCTIONS 1000 /* VM instructions between two limit checks */
 
 struct policy {
     lua_State *lua;
@@ -47,14 +47,14 @@
     struct policy *policy = policy_of(lua);
     if (policy->instructions_left <= HOOK_INTERVAL_INSTRUCTIONS) {
         luaL_where(lua, 0); /* level 0 is the function that the hook interrupted */
-        lua_pushliteral(lua, "the program runs for too long");
+        lua_pushliteral(lua, "instruction limit exceeded: the program runs too long");
         lua_concat(lua, 2);
         lua_error(lua);
     }
     policy->instructions_left -= HOOK_INTERVAL_INSTRUCTIONS;
 }
 
-/* Order of keys for sorted iteration: numbers before texts. */
+/* `pairs` with sorted iteration: numeric keys come before strings. */
 static const char sorted_pairs_source[] =
     "local next, type, sort, error = next, type, table.sort, error\n"
     "return function(t)\n"
@@ -99,12 +99,12 @@
     lua_pop(lua, 1);
 }
 
-/* `tostring` of a table or function shows an address, which differs from node to node. */
+/* `tostring` of a table or function returns an address, which differs between nodes. */
 static int restricted_tostring(lua_State *lua)
 {
     int type = lua_type(lua, 1);
     if (type == LUA_TTABLE || type == LUA_TFUNCTION)
-        return luaL_error(lua, "tostring: tables and functions have no text");
+        return luaL_error(lua, "tostring: tables and functions are not supported");
     luaL_tolstring(lua, 1, NULL);
     return 1;
 }
@@ -126,19 +126,19 @@
     remove_field(lua, "math", "random");
     remove_field(lua, "math", "randomseed");
     remove_field(lua, "string", "dump");
-    remove_field(lua, "string", "rep");    /* one call could exceed any instruction bound */
-    remove_field(lua, "string", "format"); /* %p shows addresses */
+    remove_field(lua, "string", "rep");    /* unbounded work in one instruction */
+    remove_field(lua, "string", "format"); /* %p returns addresses */
     return 0;
 }
 
-/* Lua's message starts with `[string "name"]:line:` or `name:line:`; split off the place. */
+/* Lua's message starts with `[string "name"]:line:` or `name:line:`; splits off the location. */
 static void report_error(struct policy *policy, struct findings *findings)
 {
     const char *message = lua_tostring(policy->lua, -1);
     size_t name_length = strlen(policy->name);
     char location[256];
     if (!message)
-        message = "the program fails with an error that is no text";
+        message = "the program raised an error that is not a string";
     snprintf(location, sizeof location, "%s", policy->name);
     if (strncmp(message, policy->name, name_length) == 0 && message[name_length] == ':') {
         const char *after = strchr(message + name_length + 1, ':');
@@ -167,7 +167,7 @@
     policy->name = memory_string(name);
     policy->lua = lua_newstate(bounded_allocate, policy);
     if (!policy->lua) {
-        findings_add(findings, FINDING_ERROR, name, "no memory for the program");
+        findings_add(findings, FINDING_ERROR, name, "not enough memory for the program");
         policy_destroy(policy);
         return NULL;
     }
@@ -241,7 +241,7 @@
     set_number(lua, "regions", fleet->regions);
 }
 
-/* Push the named function; false when the program does not define it. */
+/* Pushes a function of the program. \return false if the program does not define it */
 static bool push_function(struct policy *policy, const char *name)
 {
     lua_settop(policy->lua, 0);
@@ -257,7 +257,8 @@
     findings_add(findings, FINDING_ERROR, policy->name, "`%s` must return %s", function, expected);
 }
 
-/* A finite number from the top of the stack; booleans count as 1 and 0. */
+/* Returns the number on top of the stack, or `default_value` with a finding if it is no number from
+ * `least` to `most`; booleans count as 1 and 0. */
 static double number_result(struct policy *policy, const char *function, double least, double most,
                             double default_value, struct findings *findings)
 {
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -5,12 +5,13 @@
  *   place(model, machine)     -> weight >= 0 (0 or false: not eligible); default 1
  *   replicas(model, fleet)    -> whole number; default the model's `replicas`
  *   spread(model)             -> largest share of replicas in one zone, in (0, 1]; default 1
- *   tenant_order(tenant)      -> number, smaller goes first; default 0
+ *   tenant_order(tenant)      -> number, smaller has precedence; default 0
  *   may_leave(machine, fleet) -> boolean; default true
  *   rollout(model)            -> "origin-weighted" or "time-weighted"; default "origin-weighted"
  *
- * No io, os, load, require, random, time, coroutine or metatable access; instructions and memory
- * are bounded; `pairs` goes in sorted key order, so every node gets the same result.
+ * Programs have no access to io, os, load, require, random, time, coroutines or metatables.
+ * Instructions and memory are limited. `pairs` iterates in sorted key order, so every node gets the
+ * same result.
  */
 #ifndef SHUNTRUN_POLICY_H
 #define SHUNTRUN_POLICY_H
@@ -19,12 +20,12 @@
 #include "core/fleet.h"
 #include "core/fleet_config.h"
 
-#define POLICY_MAX_INSTRUCTIONS 2000000 /**< for one call of one function */
+#define POLICY_MAX_INSTRUCTIONS 2000000 /**< VM instructions of one function call */
 #define POLICY_MAX_MEMORY (8u << 20)    /**< bytes of one program */
 
 struct policy;
 
-/** What `fleet` shows to a program. */
+/** The `fleet` argument of a program. */
 struct fleet_summary {
     uint32_t machines;
     uint32_t zones;
@@ -35,13 +36,14 @@
 
 /**
  * \brief Compile a program and run its top level.
- * \param name chunk name: findings are placed as `name:line`
+ * \param name chunk name: the location of findings is `name:line`
  * \return a policy, or NULL with findings
  */
 struct policy *policy_create(const char *name, const char *program, struct findings *findings);
 void policy_destroy(struct policy *policy);
 
-/* Each call returns its default and adds one finding when the program fails. */
+/* If the program fails or returns an invalid result, each call adds one finding and returns its
+ * default; policy_place() returns 0. */
 double policy_place(struct policy *policy, const struct model_config *model,
                     const struct machine *machine, struct findings *findings);
 uint32_t policy_replicas(struct policy *policy, const struct model_config *model,
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers (Random123's Threefry): one stream for each seed, no global state.
+ * Seeded random numbers (Threefry of Random123): one stream for each seed, without global state.
  */
 #ifndef SHUNTRUN_RANDOM_H
 #define SHUNTRUN_RANDOM_H
--- a/src/core/relay_plan.c
+++ b/src/core/relay_plan.c
@@ -248,8 +248,9 @@
         add_source(sources, RELAY_ORIGIN);
     } else {
         bool is_region_relay = !region_relay || region_relay->address == plan->self;
-        bool near = strcmp(reader->region, plan->region) == 0;
-        add_source(sources, is_region_relay || near ? reader->address : region_relay->address);
+        bool same_region = strcmp(reader->region, plan->region) == 0;
+        add_source(sources,
+                   is_region_relay || same_region ? reader->address : region_relay->address);
     }
     add_by_rendezvous_weight(plan, key, plan->region, false, sources);
     reserve_fallback_sources(sources);
--- a/tests/core/fetch_order_test.c
+++ b/tests/core/fetch_order_test.c
@@ -1,4 +1,4 @@
-/* Which of several missing versions is fetched first. */
+/* Selection of the version to fetch first. */
 #include "testing.h"
 
 #include "core/fetch_order.h"
--- a/tests/core/link_rate_test.c
+++ b/tests/core/link_rate_test.c
@@ -1,4 +1,4 @@
-/* A narrow link is told from a sound one that several transfers share. */
+/* A slow link is told from a healthy one that several transfers share. */
 #include "testing.h"
 
 #include "core/link_rate.h"
@@ -17,7 +17,7 @@
     struct link_rate rate = {.nominal = 9.4};
     link_rate_add(&rate, 49152, 330000, 1);
     assert_true(link_rate_is_slow(&rate));
-    link_rate_add(&rate, 49152, 0, 1); /* no duration: no news */
+    link_rate_add(&rate, 49152, 0, 1); /* ignored: no duration */
     assert_true(link_rate_is_slow(&rate));
     for (int i = 0; i < 5; i++)
         link_rate_add(&rate, 49152, 42000, 1);
--- a/tests/core/placement_test.c
+++ b/tests/core/placement_test.c
@@ -48,7 +48,7 @@
     uint32_t gone = 0;
     for (uint32_t i = 0; i < 20; i++)
         gone += fleet_find(&fewer, all.machines[before.models[0].targets[i]].id) < 0;
-    /* Only replicas of machines that left are placed anew. */
+    /* Only replicas of removed machines are placed again. */
     assert_int_equal(count_common(&all, &before.models[0], &fewer, &after.models[0]), 20 - gone);
     placement_clear(&before);
     placement_clear(&after);
