--- a/src/core/fleet_config.c
+++ b/src/core/fleet_config.c
@@ -40,18 +40,17 @@
         strcpy(target, text);
 }
 
-static uint64_t read_number(const json_t *object, const char *key, uint64_t least, uint64_t most,
+static uint64_t read_number(const json_t *object, const char *key, uint64_t min, uint64_t max,
                             uint64_t default_value, const struct location *location)
 {
     const json_t *value = json_object_get(object, key);
     if (!value)
         return default_value;
     json_int_t number = json_integer_value(value);
-    if (!json_is_integer(value) || number < 0 || (uint64_t)number < least ||
-        (uint64_t)number > most) {
+    if (!json_is_integer(value) || number < 0 || (uint64_t)number < min || (uint64_t)number > max) {
         char text[96];
-        snprintf(text, sizeof text, "must be an integer from %llu to %llu",
-                 (unsigned long long)least, (unsigned long long)most);
+        snprintf(text, sizeof text, "must be an integer from %llu to %llu", (unsigned long long)min,
+                 (unsigned long long)max);
         report(location, key, text);
         return default_value;
     }
--- a/src/core/policy.c
+++ b/src/core/policy.c
@@ -258,8 +258,8 @@
 }
 
 /* Returns the number on top of the stack, or `default_value` with a finding if it is no number from
- * `least` to `most`; booleans count as 1 and 0. */
-static double number_result(struct policy *policy, const char *function, double least, double most,
+ * `min` to `max`; booleans count as 1 and 0. */
+static double number_result(struct policy *policy, const char *function, double min, double max,
                             double default_value, struct findings *findings)
 {
     double number = default_value;
@@ -269,9 +269,9 @@
         number = lua_tonumber(policy->lua, -1);
     else
         number = NAN;
-    if (!(number >= least && number <= most)) {
+    if (!(number >= min && number <= max)) {
         char expected[96];
-        snprintf(expected, sizeof expected, "a number from %g to %g", least, most);
+        snprintf(expected, sizeof expected, "a number from %g to %g", min, max);
         report_invalid_result(policy, function, expected, findings);
         return default_value;
     }
--- a/src/core/relay_plan.c
+++ b/src/core/relay_plan.c
@@ -67,9 +67,9 @@
 
 static uint64_t loader_demand(const struct member_state *member, const char *region)
 {
-    bool takes = member->role == MEMBER_LOADER && member_is_alive(member) &&
-                 strcmp(member->region, region) == 0;
-    return takes ? member->link_mbit : 0;
+    bool is_loader = member->role == MEMBER_LOADER && member_is_alive(member) &&
+                     strcmp(member->region, region) == 0;
+    return is_loader ? member->link_mbit : 0;
 }
 
 /* Combined link rate of the loaders of a region, in Mbit/s. */
--- a/src/core/swarm.c
+++ b/src/core/swarm.c
@@ -126,8 +126,8 @@
         swarm->mean_chunk_us * (endgame ? ENDGAME_TIMEOUT_MEAN_DURATIONS : TIMEOUT_MEAN_DURATIONS);
     if (!swarm->mean_chunk_us || timeout > swarm->settings.chunk_timeout_us)
         return swarm->settings.chunk_timeout_us;
-    uint64_t least = swarm->settings.chunk_timeout_us / 16;
-    return timeout < least ? least : timeout;
+    uint64_t min = swarm->settings.chunk_timeout_us / 16;
+    return timeout < min ? min : timeout;
 }
 
 void swarm_start_request(struct swarm *swarm, uint64_t now, uint64_t source, uint32_t chunk,
@@ -362,19 +362,19 @@
 static void back_off(struct swarm *swarm, uint64_t now, struct neighbour *neighbour,
                      enum swarm_failure failure, uint64_t retry_after_us)
 {
-    uint64_t pause = swarm->settings.busy_backoff_us
-                     << (neighbour->refusals < MAX_BACKOFF_DOUBLINGS ? neighbour->refusals
-                                                                     : MAX_BACKOFF_DOUBLINGS);
+    uint64_t backoff = swarm->settings.busy_backoff_us
+                       << (neighbour->refusals < MAX_BACKOFF_DOUBLINGS ? neighbour->refusals
+                                                                       : MAX_BACKOFF_DOUBLINGS);
     neighbour->refusals++;
     if (failure == SWARM_FAILURE_ERROR)
-        pause = swarm->settings.chunk_timeout_us;
+        backoff = swarm->settings.chunk_timeout_us;
     if (failure == SWARM_FAILURE_ABSENT)
         neighbour->wants_full = true;
     if (failure == SWARM_FAILURE_CORRUPT && record_corrupt_chunk(neighbour))
-        pause = swarm->settings.neighbour_timeout_us * CORRUPT_BACKOFF_TIMEOUTS;
-    if (pause < retry_after_us)
-        pause = retry_after_us;
-    neighbour->backoff_until = now + pause;
+        backoff = swarm->settings.neighbour_timeout_us * CORRUPT_BACKOFF_TIMEOUTS;
+    if (backoff < retry_after_us)
+        backoff = retry_after_us;
+    neighbour->backoff_until = now + backoff;
 }
 
 void swarm_on_failure(struct swarm *swarm, uint64_t now, uint64_t source, uint32_t chunk,
@@ -391,8 +391,9 @@
     end_request(swarm, found);
     swarm_assignment_failed(swarm, now, &request, failure);
     if (source == SWARM_ORIGIN) {
-        uint64_t pause = swarm->settings.busy_backoff_us + swarm->settings.origin_rank_delay_us / 2;
-        swarm->origin_backoff_until = now + (pause > retry_after_us ? pause : retry_after_us);
+        uint64_t backoff =
+            swarm->settings.busy_backoff_us + swarm->settings.origin_rank_delay_us / 2;
+        swarm->origin_backoff_until = now + (backoff > retry_after_us ? backoff : retry_after_us);
     }
     struct neighbour *neighbour = swarm_find_neighbour(swarm, source);
     if (neighbour)
