--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -112,7 +112,7 @@
         json_array_append_new(ready, json_pack("{s:s, s:s, s:s}", "model", agent->ready[i].model,
                                                "version", agent->ready[i].version, "digest",
                                                agent->ready[i].digest));
-    json_t *status = daemon_describe(&agent->shell, "agent", &agent->drain);
+    json_t *status = daemon_status_json(&agent->shell, "agent", &agent->drain);
     json_object_set_new(status, "rollouts", rollouts);
     json_object_set_new(status, "ready", ready);
     json_object_set_new(status, "active_requests",
@@ -263,7 +263,7 @@
 static void order_load(struct agent *agent, struct rollout *rollout)
 {
     static const char *const headers[] = {"Content-Type: application/json", NULL};
-    struct load_order *order = memory_zero(1, sizeof *order);
+    struct load_order *order = memory_calloc(1, sizeof *order);
     char url[512];
     char *text = load_order_text(agent, rollout);
     *order = (struct load_order){agent, rollout->number};
@@ -485,7 +485,7 @@
         reply_absent(agent, exchange, &digest);
         return;
     }
-    struct upload *upload = memory_zero(1, sizeof *upload);
+    struct upload *upload = memory_calloc(1, sizeof *upload);
     *upload = (struct upload){agent, blob};
     ck_pr_inc_32(&agent->uploads);
     metric_add(METRIC_CHUNKS_SERVED, 1);
@@ -568,9 +568,8 @@
 
 int agent_main(int argc, char **argv)
 {
-    struct agent *agent = memory_zero(1, sizeof *agent);
-    int exit_status =
-        daemon_settings(SETTING_ROLE_AGENT, argc, argv, &agent->settings, &agent->keys);
+    struct agent *agent = memory_calloc(1, sizeof *agent);
+    int exit_status = daemon_init(SETTING_ROLE_AGENT, argc, argv, &agent->settings, &agent->keys);
     if (exit_status == 0) {
         daemon_drain_init(&agent->drain, agent->settings.drain_timeout_ms, 0);
         if (open_agent(agent) == STATUS_OK) {
--- a/src/agent/agent_traffic.c
+++ b/src/agent/agent_traffic.c
@@ -72,7 +72,7 @@
     envelope.from_incarnation = traffic->incarnation;
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_ANSWER;
     envelope.answer = answer;
-    link_listener_answer(traffic->listener, &traffic->routes[route], &envelope);
+    link_listener_reply(traffic->listener, &traffic->routes[route], &envelope);
 }
 
 /* ---- runs ---- */
@@ -111,7 +111,7 @@
     run->began = true;
     if (run->line_size + size > MAX_LINE)
         return; /* no engine writes such a line; the run ends as broken */
-    run->line = memory_resize(run->line, run->line_size + size);
+    run->line = memory_realloc(run->line, run->line_size + size);
     memcpy(run->line + run->line_size, data, size);
     run->line_size += size;
     size_t start = 0;
@@ -194,8 +194,8 @@
                       const struct ready_model *model, const struct fence *fence)
 {
     struct agent_traffic *traffic = context;
-    struct engine_run *run = memory_zero(1, sizeof *run);
-    struct header_list *headers = memory_zero(1, sizeof *headers);
+    struct engine_run *run = memory_calloc(1, sizeof *run);
+    struct header_list *headers = memory_calloc(1, sizeof *headers);
     char url[512];
     run->traffic = traffic;
     run->run = id;
@@ -246,7 +246,7 @@
     struct agent_traffic *traffic = context;
     struct link_route route;
     Shuntrun__Envelope *message;
-    while ((message = link_listener_take(traffic->listener, &route))) {
+    while ((message = link_listener_receive(traffic->listener, &route))) {
         uint64_t now = clock_monotonic_us();
         if (message->body_case == SHUNTRUN__ENVELOPE__BODY_FORWARD)
             executor_on_forward(traffic->executor, now, route_index(traffic, &route),
@@ -284,7 +284,7 @@
 struct agent_traffic *agent_traffic_start(const struct settings *settings,
                                           const struct node_shell *shell)
 {
-    struct agent_traffic *traffic = memory_zero(1, sizeof *traffic);
+    struct agent_traffic *traffic = memory_calloc(1, sizeof *traffic);
     struct executor_driver driver = {traffic, send_answer, start_run, cancel_run};
     struct executor_settings executor_settings = {
         .capacity = (uint32_t)settings->request_capacity,
@@ -319,7 +319,7 @@
         return;
     loop_stop(traffic->loop);
     pthread_join(traffic->thread, NULL);
-    loop_drain(traffic->loop);
+    loop_run_posted(traffic->loop);
     executor_destroy(traffic->executor);
     link_listener_close(traffic->listener);
     loop_destroy(traffic->loop);
@@ -348,18 +348,19 @@
 
 void agent_traffic_set_config(struct agent_traffic *traffic, const struct fleet_config *config)
 {
-    struct change *change = memory_zero(1, sizeof *change);
+    struct change *change = memory_calloc(1, sizeof *change);
     struct fleet_config *copy = &change->config;
     change->traffic = traffic;
     copy->revision = config->revision;
     copy->service_count = config->service_count;
     copy->services =
-        memory_copy(config->services, config->service_count * sizeof *config->services);
+        memory_duplicate(config->services, config->service_count * sizeof *config->services);
     for (uint32_t i = 0; i < copy->service_count; i++)
-        copy->services[i].machines = memory_copy(
+        copy->services[i].machines = memory_duplicate(
             config->services[i].machines, config->services[i].machine_count * sizeof(uint64_t));
     copy->tenant_count = config->tenant_count;
-    copy->tenants = memory_copy(config->tenants, config->tenant_count * sizeof *config->tenants);
+    copy->tenants =
+        memory_duplicate(config->tenants, config->tenant_count * sizeof *config->tenants);
     loop_post(traffic->loop, apply_config, change);
 }
 
@@ -373,7 +374,7 @@
 void agent_traffic_set_ready(struct agent_traffic *traffic, const struct ready_model *models,
                              uint32_t count)
 {
-    struct change *change = memory_zero(1, sizeof *change);
+    struct change *change = memory_calloc(1, sizeof *change);
     change->traffic = traffic;
     memcpy(change->ready, models, count * sizeof *models);
     change->ready_count = count;
@@ -394,7 +395,7 @@
 
 void agent_traffic_set_keys(struct agent_traffic *traffic, const struct key_ring *keys)
 {
-    struct key_change *change = memory_zero(1, sizeof *change);
+    struct key_change *change = memory_calloc(1, sizeof *change);
     *change = (struct key_change){traffic, *keys};
     loop_post(traffic->loop, apply_keys, change);
 }
@@ -408,7 +409,7 @@
 
 void agent_traffic_set_draining(struct agent_traffic *traffic, bool draining)
 {
-    struct change *change = memory_zero(1, sizeof *change);
+    struct change *change = memory_calloc(1, sizeof *change);
     change->traffic = traffic;
     change->draining = draining;
     loop_post(traffic->loop, apply_draining, change);
--- a/src/agent/blob_store.c
+++ b/src/agent/blob_store.c
@@ -20,7 +20,7 @@
 
 struct blob_store *blob_store_create(uint64_t limit)
 {
-    struct blob_store *store = memory_zero(1, sizeof *store);
+    struct blob_store *store = memory_calloc(1, sizeof *store);
     pthread_mutex_init(&store->lock, NULL);
     store->limit = limit;
     return store;
@@ -74,7 +74,7 @@
         free(data);
         return status_fail(STATUS_EXHAUSTED, "the bound on memory for weights is reached");
     }
-    struct blob *blob = memory_zero(1, sizeof *blob);
+    struct blob *blob = memory_calloc(1, sizeof *blob);
     blob->digest = *digest;
     blob->data = data;
     blob->size = size;
@@ -158,7 +158,7 @@
 {
     pthread_mutex_lock(&store->lock);
     free(store->pending);
-    store->pending = memory_copy(digests, count * sizeof *digests);
+    store->pending = memory_duplicate(digests, count * sizeof *digests);
     store->pending_count = count;
     pthread_mutex_unlock(&store->lock);
 }
--- a/src/agent/rollout.c
+++ b/src/agent/rollout.c
@@ -18,7 +18,7 @@
 struct rollout *rollout_create(struct node_shell *shell, struct blob_store *store,
                                struct transfer *transfer, const struct model_config *model)
 {
-    struct rollout *rollout = memory_zero(1, sizeof *rollout);
+    struct rollout *rollout = memory_calloc(1, sizeof *rollout);
     rollout->number = next_number++;
     rollout->shell = shell;
     rollout->store = store;
@@ -200,7 +200,7 @@
     rollout->weighting = placement->weighting;
     if (!rollout->swarm)
         return;
-    struct member *members = memory_zero(placement->target_count, sizeof *members);
+    struct member *members = memory_calloc(placement->target_count, sizeof *members);
     for (uint32_t i = 0; i < placement->target_count; i++) {
         uint32_t machine = placement->targets[i];
         members[i].id = fleet->machines[machine].id;
@@ -268,7 +268,8 @@
     bool full = update->have_all.len == words * sizeof(uint64_t);
     if (update->have_all.len && !full)
         return;
-    uint64_t *have_all = full ? memory_copy(update->have_all.data, update->have_all.len) : NULL;
+    uint64_t *have_all =
+        full ? memory_duplicate(update->have_all.data, update->have_all.len) : NULL;
     if (have_all && rollout->manifest.chunk_count % 64)
         have_all[words - 1] &= (1ULL << rollout->manifest.chunk_count % 64) - 1;
     struct swarm_update swarm_update = {
@@ -336,7 +337,7 @@
     for (uint32_t chunk = 0; rollout->swarm && chunk < rollout->manifest.chunk_count; chunk++) {
         if (swarm_admit_upload(rollout->swarm, chunk, 0) != SWARM_UPLOAD_PENDING)
             continue;
-        *digests = memory_resize(*digests, (*count + 1) * sizeof **digests);
+        *digests = memory_realloc(*digests, (*count + 1) * sizeof **digests);
         (*digests)[(*count)++] = rollout->manifest.chunks[chunk];
     }
 }
--- a/src/agent/transfer.c
+++ b/src/agent/transfer.c
@@ -43,7 +43,7 @@
 
 static void post_result(struct transfer *transfer, const struct transfer_result *result)
 {
-    struct transfer_result *copy = memory_copy(result, sizeof *result);
+    struct transfer_result *copy = memory_duplicate(result, sizeof *result);
     copy->context = transfer->context;
     loop_post(transfer->control, transfer->take, copy);
 }
@@ -52,7 +52,7 @@
                        struct transfer_result *result)
 {
     enum status status = blob_store_put(transfer->store, &result->job.digest,
-                                        http_response_take(response), response->size);
+                                        http_response_take_body(response), response->size);
     result->stored = status == STATUS_OK;
     result->failure = status == STATUS_CORRUPT ? SWARM_FAILURE_CORRUPT : SWARM_FAILURE_ERROR;
     if (status == STATUS_CORRUPT) {
@@ -121,7 +121,7 @@
         free(order);
         return;
     }
-    struct active *active = memory_zero(1, sizeof *active);
+    struct active *active = memory_calloc(1, sizeof *active);
     active->transfer = transfer;
     active->job = order->job;
     active->next = transfer->active;
@@ -162,7 +162,7 @@
 
 void transfer_fetch(struct transfer *transfer, const struct transfer_job *job)
 {
-    struct order *order = memory_zero(1, sizeof *order);
+    struct order *order = memory_calloc(1, sizeof *order);
     order->transfer = transfer;
     order->job = *job;
     loop_post(transfer->loop, start_job, order);
@@ -170,7 +170,7 @@
 
 void transfer_cancel(struct transfer *transfer, uint64_t rollout, uint64_t source, uint32_t chunk)
 {
-    struct order *order = memory_zero(1, sizeof *order);
+    struct order *order = memory_calloc(1, sizeof *order);
     order->transfer = transfer;
     order->job = (struct transfer_job){.rollout = rollout, .source = source, .chunk = chunk};
     loop_post(transfer->loop, cancel_job, order);
@@ -187,7 +187,7 @@
                                 struct link_pace *pace, struct loop *control, loop_callback *take,
                                 void *context)
 {
-    struct transfer *transfer = memory_zero(1, sizeof *transfer);
+    struct transfer *transfer = memory_calloc(1, sizeof *transfer);
     transfer->loop = loop_create();
     transfer->control = control;
     transfer->store = store;
@@ -205,7 +205,7 @@
         return;
     loop_stop(transfer->loop);
     pthread_join(transfer->thread, NULL);
-    loop_drain(transfer->loop);
+    loop_run_posted(transfer->loop);
     while (transfer->active) {
         struct active *next = transfer->active->next;
         free(transfer->active);
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -7,17 +7,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUFFER_LEAST 256
+#define BUFFER_MIN_CAPACITY 256
 
 static void reserve(struct buffer *buffer, size_t more)
 {
     size_t needed = buffer->size + more;
     if (needed <= buffer->capacity)
         return;
-    size_t capacity = buffer->capacity ? buffer->capacity : BUFFER_LEAST;
+    size_t capacity = buffer->capacity ? buffer->capacity : BUFFER_MIN_CAPACITY;
     while (capacity < needed)
         capacity *= 2;
-    buffer->data = memory_resize(buffer->data, capacity);
+    buffer->data = memory_realloc(buffer->data, capacity);
     buffer->capacity = capacity;
 }
 
@@ -39,16 +39,16 @@
 {
     va_list arguments;
     va_start(arguments, format);
-    va_list again;
-    va_copy(again, arguments);
+    va_list arguments_copy;
+    va_copy(arguments_copy, arguments);
     int length = vsnprintf(NULL, 0, format, arguments);
     va_end(arguments);
     if (length > 0) {
         reserve(buffer, (size_t)length + 1);
-        vsnprintf(buffer->data + buffer->size, (size_t)length + 1, format, again);
+        vsnprintf(buffer->data + buffer->size, (size_t)length + 1, format, arguments_copy);
         buffer->size += (size_t)length;
     }
-    va_end(again);
+    va_end(arguments_copy);
 }
 
 void buffer_consume(struct buffer *buffer, size_t size)
--- a/src/base/findings.c
+++ b/src/base/findings.c
@@ -15,11 +15,11 @@
     va_end(arguments);
 
     findings->items =
-        memory_resize(findings->items, (findings->count + 1) * sizeof *findings->items);
+        memory_realloc(findings->items, (findings->count + 1) * sizeof *findings->items);
     struct finding *finding = &findings->items[findings->count++];
     finding->severity = severity;
-    finding->place = memory_string(place);
-    finding->text = memory_string(text);
+    finding->place = memory_strdup(place);
+    finding->text = memory_strdup(text);
     if (severity == FINDING_ERROR)
         findings->error_count++;
 }
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-#define GROWTH 1.02
+#define BUCKET_GROWTH_FACTOR 1.02
 
 void histogram_add(struct histogram *histogram, uint64_t microseconds)
 {
-    double bucket = log((double)(microseconds ? microseconds : 1)) / log(GROWTH);
+    double bucket = log((double)(microseconds ? microseconds : 1)) / log(BUCKET_GROWTH_FACTOR);
     uint32_t index = bucket < HISTOGRAM_BUCKETS - 1 ? (uint32_t)bucket : HISTOGRAM_BUCKETS - 1;
     histogram->counts[index]++;
     histogram->total++;
-    if (microseconds > histogram->greatest)
-        histogram->greatest = microseconds;
+    if (microseconds > histogram->maximum)
+        histogram->maximum = microseconds;
 }
 
 void histogram_merge(struct histogram *histogram, const struct histogram *other)
@@ -19,20 +19,20 @@
     for (uint32_t i = 0; i < HISTOGRAM_BUCKETS; i++)
         histogram->counts[i] += other->counts[i];
     histogram->total += other->total;
-    if (other->greatest > histogram->greatest)
-        histogram->greatest = other->greatest;
+    if (other->maximum > histogram->maximum)
+        histogram->maximum = other->maximum;
 }
 
-uint64_t histogram_quantile(const struct histogram *histogram, double share)
+uint64_t histogram_quantile(const struct histogram *histogram, double quantile)
 {
-    uint64_t wanted = (uint64_t)ceil(share * (double)histogram->total);
-    uint64_t seen = 0;
+    uint64_t target_rank = (uint64_t)ceil(quantile * (double)histogram->total);
+    uint64_t cumulative = 0;
     for (uint32_t i = 0; i < HISTOGRAM_BUCKETS && histogram->total; i++) {
-        seen += histogram->counts[i];
-        if (seen < wanted || !seen)
+        cumulative += histogram->counts[i];
+        if (cumulative < target_rank || !cumulative)
             continue;
-        uint64_t upper = (uint64_t)pow(GROWTH, i + 1);
-        return upper < histogram->greatest ? upper : histogram->greatest;
+        uint64_t upper = (uint64_t)pow(BUCKET_GROWTH_FACTOR, i + 1);
+        return upper < histogram->maximum ? upper : histogram->maximum;
     }
-    return histogram->greatest;
+    return histogram->maximum;
 }
--- a/src/base/histogram.h
+++ b/src/base/histogram.h
@@ -12,7 +12,7 @@
 struct histogram {
     uint64_t counts[HISTOGRAM_BUCKETS];
     uint64_t total;
-    uint64_t greatest;
+    uint64_t maximum;
 };
 
 /** \param microseconds 1 us to some hours; others are clamped */
@@ -22,6 +22,6 @@
 void histogram_merge(struct histogram *histogram, const struct histogram *other);
 
 /** \param share of values at most as great, for example 0.95 \return microseconds, 0 when empty */
-uint64_t histogram_quantile(const struct histogram *histogram, double share);
+uint64_t histogram_quantile(const struct histogram *histogram, double quantile);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -15,30 +15,30 @@
 
 /** Below PIPE_BUF, so that a pipe takes a line whole or not at all. */
 #define LOG_LINE_SIZE 1024
-#define LOG_KINDS 256
-#define LOG_RATE_PER_SECOND 20
-#define LOG_BURST 60
+#define LOG_EVENT_KINDS 256
+#define LOG_LINES_PER_SECOND 20
+#define LOG_BURST_LINES 60
 
 /* Lines of one kind that may be written now. */
-struct log_kind {
+struct event_limiter {
     const char *event;
     double tokens;
-    uint64_t refilled;
+    uint64_t refilled_us;
     uint64_t left_out; /* since the last line of this kind */
 };
 
 static const char *log_node = "-";
-static enum log_level log_least = LOG_LEVEL_INFO;
+static enum log_level log_min_level = LOG_LEVEL_INFO;
 static const char *const level_names[] = {"debug", "info", "warn", "error"};
-static struct log_kind kinds[LOG_KINDS];
-static pthread_mutex_t kinds_lock = PTHREAD_MUTEX_INITIALIZER;
+static struct event_limiter event_limiters[LOG_EVENT_KINDS];
+static pthread_mutex_t event_limiters_lock = PTHREAD_MUTEX_INITIALIZER;
 static uint64_t dropped;
 
-void log_init(const char *node, enum log_level least)
+void log_init(const char *node, enum log_level min_level)
 {
     struct stat output;
     log_node = node;
-    log_least = least;
+    log_min_level = min_level;
     if (fstat(STDOUT_FILENO, &output) == 0 && S_ISFIFO(output.st_mode))
         fcntl(STDOUT_FILENO, F_SETFL, fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
 }
@@ -56,43 +56,43 @@
     return ck_pr_load_64(&dropped);
 }
 
-static struct log_kind *kind_of(const char *event)
+static struct event_limiter *limiter_of(const char *event)
 {
-    size_t place = ((uintptr_t)event >> 2) % LOG_KINDS;
-    for (size_t i = 0; i < LOG_KINDS; i++) {
-        struct log_kind *kind = &kinds[(place + i) % LOG_KINDS];
-        if (!kind->event)
-            *kind = (struct log_kind){event, LOG_BURST, clock_monotonic_us(), 0};
-        if (kind->event == event)
-            return kind;
+    size_t start_index = ((uintptr_t)event >> 2) % LOG_EVENT_KINDS;
+    for (size_t i = 0; i < LOG_EVENT_KINDS; i++) {
+        struct event_limiter *limiter = &event_limiters[(start_index + i) % LOG_EVENT_KINDS];
+        if (!limiter->event)
+            *limiter = (struct event_limiter){event, LOG_BURST_LINES, clock_monotonic_us(), 0};
+        if (limiter->event == event)
+            return limiter;
     }
-    return &kinds[place];
+    return &event_limiters[start_index];
 }
 
 /* \return whether a line of this kind may be written; `left_out` gets how many were not before */
-static bool admit(const char *event, uint64_t *left_out)
+static bool admit_event(const char *event, uint64_t *left_out)
 {
-    pthread_mutex_lock(&kinds_lock);
-    struct log_kind *kind = kind_of(event);
+    pthread_mutex_lock(&event_limiters_lock);
+    struct event_limiter *limiter = limiter_of(event);
     uint64_t now = clock_monotonic_us();
-    kind->tokens += (double)(now - kind->refilled) * LOG_RATE_PER_SECOND / 1e6;
-    if (kind->tokens > LOG_BURST)
-        kind->tokens = LOG_BURST;
-    kind->refilled = now;
-    bool admitted = kind->tokens >= 1;
-    *left_out = kind->left_out;
+    limiter->tokens += (double)(now - limiter->refilled_us) * LOG_LINES_PER_SECOND / 1e6;
+    if (limiter->tokens > LOG_BURST_LINES)
+        limiter->tokens = LOG_BURST_LINES;
+    limiter->refilled_us = now;
+    bool admitted = limiter->tokens >= 1;
+    *left_out = limiter->left_out;
     if (admitted) {
-        kind->tokens -= 1;
-        kind->left_out = 0;
+        limiter->tokens -= 1;
+        limiter->left_out = 0;
     } else {
-        kind->left_out++;
+        limiter->left_out++;
     }
-    pthread_mutex_unlock(&kinds_lock);
+    pthread_mutex_unlock(&event_limiters_lock);
     return admitted;
 }
 
-static int write_start(char *line, size_t size, enum log_level level, const char *subsystem,
-                       const char *event)
+static int format_prefix(char *line, size_t size, enum log_level level, const char *subsystem,
+                         const char *event)
 {
     struct timespec now;
     struct tm utc;
@@ -108,14 +108,14 @@
                ...)
 {
     uint64_t left_out;
-    if (level < log_least)
+    if (level < log_min_level)
         return;
-    if (!admit(event, &left_out)) {
+    if (!admit_event(event, &left_out)) {
         ck_pr_inc_64(&dropped);
         return;
     }
     char line[LOG_LINE_SIZE];
-    int used = write_start(line, sizeof line, level, subsystem, event);
+    int used = format_prefix(line, sizeof line, level, subsystem, event);
     va_list arguments;
     va_start(arguments, format);
     int more = vsnprintf(line + used, sizeof line - (size_t)used, format, arguments);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -16,7 +16,7 @@
 enum log_level { LOG_LEVEL_DEBUG, LOG_LEVEL_INFO, LOG_LEVEL_WARN, LOG_LEVEL_ERROR };
 
 /** \brief Set once before threads start. \param node kept by reference. */
-void log_init(const char *node, enum log_level least);
+void log_init(const char *node, enum log_level min_level);
 
 /** \brief Level by name ("debug", "info", "warn", "error"); LOG_LEVEL_INFO for any other. */
 enum log_level log_level_from_name(const char *name);
--- a/src/base/memory.c
+++ b/src/base/memory.c
@@ -13,22 +13,22 @@
     return block;
 }
 
-void *memory_zero(size_t count, size_t size)
+void *memory_calloc(size_t count, size_t size)
 {
     return checked(calloc(count ? count : 1, size ? size : 1));
 }
 
-void *memory_resize(void *block, size_t size)
+void *memory_realloc(void *block, size_t size)
 {
     return checked(realloc(block, size ? size : 1));
 }
 
-char *memory_string(const char *text)
+char *memory_strdup(const char *text)
 {
     return checked(strdup(text ? text : ""));
 }
 
-void *memory_copy(const void *bytes, size_t size)
+void *memory_duplicate(const void *bytes, size_t size)
 {
     void *copy = checked(malloc(size ? size : 1));
     if (size)
--- a/src/base/memory.h
+++ b/src/base/memory.h
@@ -8,9 +8,9 @@
 #include <stddef.h>
 
 /** \brief Zeroed memory; owned by the caller, released with free(). */
-void *memory_zero(size_t count, size_t size);
-void *memory_resize(void *block, size_t size);
-char *memory_string(const char *text);
-void *memory_copy(const void *bytes, size_t size);
+void *memory_calloc(size_t count, size_t size);
+void *memory_realloc(void *block, size_t size);
+char *memory_strdup(const char *text);
+void *memory_duplicate(const void *bytes, size_t size);
 
 #endif
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -15,7 +15,7 @@
 
 static struct counter_block *all_blocks;
 static pthread_mutex_t blocks_lock = PTHREAD_MUTEX_INITIALIZER;
-static _Thread_local struct counter_block *own_block;
+static _Thread_local struct counter_block *thread_block;
 static uint64_t gauges[METRIC_GAUGE_COUNT];
 
 /* Upper bounds of the buckets in microseconds; one more bucket holds the rest. */
@@ -41,21 +41,21 @@
 static const struct series histogram_series[] = {METRIC_HISTOGRAMS(METRIC_SERIES)};
 #undef METRIC_SERIES
 
-static struct counter_block *block_of_thread(void)
+static struct counter_block *counter_block_of_thread(void)
 {
-    if (own_block)
-        return own_block;
-    own_block = memory_zero(1, sizeof *own_block);
+    if (thread_block)
+        return thread_block;
+    thread_block = memory_calloc(1, sizeof *thread_block);
     pthread_mutex_lock(&blocks_lock);
-    own_block->next = all_blocks;
-    ck_pr_store_ptr(&all_blocks, own_block);
+    thread_block->next = all_blocks;
+    ck_pr_store_ptr(&all_blocks, thread_block);
     pthread_mutex_unlock(&blocks_lock);
-    return own_block;
+    return thread_block;
 }
 
 void metric_add(enum metric_counter counter, uint64_t amount)
 {
-    struct counter_block *block = block_of_thread();
+    struct counter_block *block = counter_block_of_thread();
     ck_pr_store_64(&block->counts[counter], block->counts[counter] + amount);
 }
 
@@ -107,7 +107,7 @@
             series->name, (unsigned long long)total);
 }
 
-char *metrics_format(size_t *length)
+char *metrics_format_prometheus(size_t *length)
 {
     char *text = NULL;
     FILE *stream = open_memstream(&text, length);
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -140,6 +140,6 @@
 uint64_t metric_read(enum metric_counter counter);
 
 /** \brief All series in the Prometheus text format. \return text owned by the caller. */
-char *metrics_format(size_t *length);
+char *metrics_format_prometheus(size_t *length);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -10,8 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_FIRST_SETTING 1000
-#define KEY_SETTINGS_FILE 999
+#define OPTION_KEY_FIRST_SETTING 1000
+#define OPTION_KEY_SETTINGS_FILE 999
 
 /* Where the value of each setting came from; text is NULL while none was given. */
 struct setting_value {
@@ -19,7 +19,7 @@
     char place[256];
 };
 
-struct reading {
+struct settings_reader {
     enum setting_role role;
     struct setting_value values[SETTING_COUNT];
     const char *file;
@@ -34,15 +34,16 @@
     return -1;
 }
 
-static void give_value(struct reading *reading, int index, const char *text, const char *place)
+static void set_value(struct settings_reader *reader, int index, const char *text,
+                      const char *place)
 {
-    struct setting_value *value = &reading->values[index];
+    struct setting_value *value = &reader->values[index];
     free(value->text);
-    value->text = memory_string(text);
+    value->text = memory_strdup(text);
     snprintf(value->place, sizeof value->place, "%s", place);
 }
 
-static void variable_name(const char *setting, char *variable, size_t size)
+static void format_variable_name(const char *setting, char *variable, size_t size)
 {
     int used = snprintf(variable, size, "SHUNTRUN_");
     for (const char *c = setting; *c && (size_t)used + 1 < size; c++)
@@ -50,7 +51,7 @@
     variable[used] = 0;
 }
 
-static char *trimmed(char *text)
+static char *trim(char *text)
 {
     while (isspace((unsigned char)*text))
         text++;
@@ -60,71 +61,71 @@
     return text;
 }
 
-static void read_file_line(struct reading *reading, char *line, const char *place)
+static void read_file_line(struct settings_reader *reader, char *line, const char *place)
 {
-    char *text = trimmed(line);
+    char *text = trim(line);
     if (!*text || *text == '#')
         return;
     char *equals = strchr(text, '=');
     if (!equals) {
-        findings_add(reading->findings, FINDING_ERROR, place, "expected `name = value`");
+        findings_add(reader->findings, FINDING_ERROR, place, "expected `name = value`");
         return;
     }
     *equals = 0;
-    const char *name = trimmed(text);
-    int index = find_setting(name, reading->role);
+    const char *name = trim(text);
+    int index = find_setting(name, reader->role);
     if (index >= 0)
-        give_value(reading, index, trimmed(equals + 1), place);
+        set_value(reader, index, trim(equals + 1), place);
     else if (find_setting(name, ~0U) < 0)
-        findings_add(reading->findings, FINDING_ERROR, place, "unknown setting `%s`", name);
+        findings_add(reader->findings, FINDING_ERROR, place, "unknown setting `%s`", name);
 }
 
-static void read_file(struct reading *reading)
+static void read_file(struct settings_reader *reader)
 {
-    FILE *stream = fopen(reading->file, "r");
+    FILE *stream = fopen(reader->file, "r");
     if (!stream) {
-        findings_add(reading->findings, FINDING_ERROR, reading->file, "%s", strerror(errno));
+        findings_add(reader->findings, FINDING_ERROR, reader->file, "%s", strerror(errno));
         return;
     }
     char line[1024];
     char place[256];
     for (int number = 1; fgets(line, sizeof line, stream); number++) {
-        snprintf(place, sizeof place, "%s:%d", reading->file, number);
-        read_file_line(reading, line, place);
+        snprintf(place, sizeof place, "%s:%d", reader->file, number);
+        read_file_line(reader, line, place);
     }
     fclose(stream);
 }
 
-static void read_environment(struct reading *reading)
+static void read_environment(struct settings_reader *reader)
 {
     for (int i = 0; i < SETTING_COUNT; i++) {
         char variable[128];
-        variable_name(setting_descriptors[i].name, variable, sizeof variable);
+        format_variable_name(setting_descriptors[i].name, variable, sizeof variable);
         const char *text = getenv(variable);
-        if (text && (setting_descriptors[i].roles & reading->role))
-            give_value(reading, i, text, variable);
+        if (text && (setting_descriptors[i].roles & reader->role))
+            set_value(reader, i, text, variable);
     }
 }
 
 /* Flags are kept aside by argp and applied last, since they go before variables and the file. */
 struct flags {
-    struct reading *reading;
-    const char *texts[SETTING_COUNT];
+    struct settings_reader *reader;
+    const char *flag_values[SETTING_COUNT];
 };
 
 static error_t parse_flag(int key, char *argument, struct argp_state *state)
 {
     struct flags *flags = state->input;
-    if (key == KEY_SETTINGS_FILE) {
-        flags->reading->file = argument;
+    if (key == OPTION_KEY_SETTINGS_FILE) {
+        flags->reader->file = argument;
         return 0;
     }
-    if (key >= KEY_FIRST_SETTING && key < KEY_FIRST_SETTING + SETTING_COUNT) {
-        flags->texts[key - KEY_FIRST_SETTING] = argument;
+    if (key >= OPTION_KEY_FIRST_SETTING && key < OPTION_KEY_FIRST_SETTING + SETTING_COUNT) {
+        flags->flag_values[key - OPTION_KEY_FIRST_SETTING] = argument;
         return 0;
     }
     if (key == ARGP_KEY_ARG) {
-        findings_add(flags->reading->findings, FINDING_ERROR, argument, "unexpected argument");
+        findings_add(flags->reader->findings, FINDING_ERROR, argument, "unexpected argument");
         return 0;
     }
     return ARGP_ERR_UNKNOWN;
@@ -133,15 +134,15 @@
 static void apply_flags(const struct flags *flags)
 {
     for (int i = 0; i < SETTING_COUNT; i++) {
-        if (!flags->texts[i])
+        if (!flags->flag_values[i])
             continue;
         char place[128];
         snprintf(place, sizeof place, "--%s", setting_descriptors[i].name);
-        give_value(flags->reading, i, flags->texts[i], place);
+        set_value(flags->reader, i, flags->flag_values[i], place);
     }
 }
 
-static const char *description_of(enum setting_role role)
+static const char *role_description(enum setting_role role)
 {
     switch (role) {
     case SETTING_ROLE_AGENT:
@@ -160,20 +161,20 @@
 static void parse_flags(struct flags *flags, int argc, char **argv)
 {
     struct argp_option options[SETTING_COUNT + 2] = {
-        {"settings", KEY_SETTINGS_FILE, "FILE", 0, "file of `name = value` lines", 0}};
+        {"settings", OPTION_KEY_SETTINGS_FILE, "FILE", 0, "file of `name = value` lines", 0}};
     int count = 1;
     for (int i = 0; i < SETTING_COUNT; i++) {
         const struct setting_descriptor *descriptor = &setting_descriptors[i];
-        if (!(descriptor->roles & flags->reading->role))
+        if (!(descriptor->roles & flags->reader->role))
             continue;
         options[count++] = (struct argp_option){descriptor->name,
-                                                KEY_FIRST_SETTING + i,
+                                                OPTION_KEY_FIRST_SETTING + i,
                                                 descriptor->unit ? descriptor->unit : "VALUE",
                                                 0,
                                                 descriptor->help,
                                                 0};
     }
-    struct argp argp = {options, parse_flag, NULL, description_of(flags->reading->role),
+    struct argp argp = {options, parse_flag, NULL, role_description(flags->reader->role),
                         NULL,    NULL,       NULL};
     argp_parse(&argp, argc, argv, 0, NULL, flags);
 }
@@ -181,9 +182,9 @@
 static bool choice_allowed(const char *choices, const char *text)
 {
     size_t length = strlen(text);
-    for (const char *at = choices; at; at = strchr(at, '|')) {
-        at += *at == '|';
-        if (strncmp(at, text, length) == 0 && (at[length] == '|' || !at[length]))
+    for (const char *choice = choices; choice; choice = strchr(choice, '|')) {
+        choice += *choice == '|';
+        if (strncmp(choice, text, length) == 0 && (choice[length] == '|' || !choice[length]))
             return length > 0;
     }
     return false;
@@ -301,7 +302,7 @@
     *(const char **)target = value->text;
 }
 
-static bool is_text(const struct setting_descriptor *descriptor)
+static bool is_string_type(const struct setting_descriptor *descriptor)
 {
     switch (descriptor->type) {
     case SETTING_UINT:
@@ -314,33 +315,33 @@
     }
 }
 
-static void take_value(const struct setting_descriptor *descriptor, struct setting_value *value,
-                       void *target, struct findings *findings)
+static void store_value(const struct setting_descriptor *descriptor, struct setting_value *value,
+                        void *target, struct findings *findings)
 {
     check_value(descriptor, value, target, findings);
-    if (!is_text(descriptor))
+    if (!is_string_type(descriptor))
         free(value->text);
     value->text = NULL;
 }
 
-static void check_all(struct reading *reading, struct settings *settings)
+static void check_all(struct settings_reader *reader, struct settings *settings)
 {
     for (int i = 0; i < SETTING_COUNT; i++) {
         const struct setting_descriptor *descriptor = &setting_descriptors[i];
-        struct setting_value *value = &reading->values[i];
-        if (!(descriptor->roles & reading->role))
+        struct setting_value *value = &reader->values[i];
+        if (!(descriptor->roles & reader->role))
             continue;
         void *target = (char *)settings + descriptor->offset;
         if (!value->text && descriptor->default_text && !descriptor->default_text[0]) {
-            *(const char **)target = memory_string(""); /* nothing to check */
+            *(const char **)target = memory_strdup(""); /* nothing to check */
             continue;
         }
         if (!value->text && descriptor->default_text)
-            give_value(reading, i, descriptor->default_text, descriptor->name);
+            set_value(reader, i, descriptor->default_text, descriptor->name);
         if (value->text)
-            take_value(descriptor, value, target, reading->findings);
+            store_value(descriptor, value, target, reader->findings);
         else if (descriptor->required)
-            findings_add(reading->findings, FINDING_ERROR, descriptor->name,
+            findings_add(reader->findings, FINDING_ERROR, descriptor->name,
                          "required setting is missing");
     }
 }
@@ -348,15 +349,15 @@
 enum status settings_read(enum setting_role role, int argc, char **argv, struct settings *settings,
                           struct findings *findings)
 {
-    struct reading reading = {.role = role, .findings = findings};
-    struct flags flags = {.reading = &reading};
+    struct settings_reader reader = {.role = role, .findings = findings};
+    struct flags flags = {.reader = &reader};
     *settings = (struct settings){0};
     parse_flags(&flags, argc, argv);
-    if (reading.file)
-        read_file(&reading);
-    read_environment(&reading);
+    if (reader.file)
+        read_file(&reader);
+    read_environment(&reader);
     apply_flags(&flags);
-    check_all(&reading, settings);
+    check_all(&reader, settings);
     if (findings->error_count)
         return status_fail(STATUS_INVALID, "%zu errors in the settings", findings->error_count);
     return STATUS_OK;
@@ -365,7 +366,7 @@
 void settings_clear(struct settings *settings)
 {
     for (int i = 0; i < SETTING_COUNT; i++)
-        if (is_text(&setting_descriptors[i]))
+        if (is_string_type(&setting_descriptors[i]))
             free(*(char **)((char *)settings + setting_descriptors[i].offset));
     *settings = (struct settings){0};
 }
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -360,7 +360,7 @@
 
 static void add_seeds(struct cluster *cluster)
 {
-    char *seeds = memory_string(cluster->settings->seeds);
+    char *seeds = memory_strdup(cluster->settings->seeds);
     char *rest = seeds;
     for (char *seed = strsep(&rest, ","); seed; seed = strsep(&rest, ",")) {
         struct sockaddr_in address;
@@ -390,7 +390,8 @@
 
 static int open_sockets(struct cluster *cluster, uint32_t own)
 {
-    static const struct http_service_limits limits = {CALL_BODY_LIMIT, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {CALL_BODY_LIMIT,
+                                                      HTTP_SERVICE_IDLE_TIMEOUT_MS};
     struct sockaddr_in address = cluster_address(cluster, own);
     cluster->service = http_service_start(cluster->loop, &address, &limits, on_call, cluster);
     if (!cluster->service) {
--- a/src/cluster/crash_sync.c
+++ b/src/cluster/crash_sync.c
@@ -42,7 +42,7 @@
 
 struct crash_sync *crash_sync_create(struct cluster *cluster)
 {
-    struct crash_sync *sync = memory_zero(1, sizeof *sync);
+    struct crash_sync *sync = memory_calloc(1, sizeof *sync);
     sync->cluster = cluster;
     sync->table = crash_table_create();
     return sync;
@@ -161,8 +161,8 @@
         if (!entry->is_dirty)
             continue;
         if (!outbox.items)
-            outbox.items =
-                memory_zero(membership_count(sync->cluster->membership) + 1, sizeof *outbox.items);
+            outbox.items = memory_calloc(membership_count(sync->cluster->membership) + 1,
+                                         sizeof *outbox.items);
         tell_entry(sync, entry, &outbox, now);
     }
     for (uint32_t i = 0; i < outbox.count; i++)
--- a/src/cluster/process.c
+++ b/src/cluster/process.c
@@ -78,14 +78,15 @@
         return;
     }
     metric_add(METRIC_LOG_LINES_LEFT_OUT, log_dropped() - metric_read(METRIC_LOG_LINES_LEFT_OUT));
-    char *text = metrics_format(&size);
+    char *text = metrics_format_prometheus(&size);
     service_reply(call, 200, "text/plain; version=0.0.4", text, size);
     free(text);
 }
 
 static void open_metrics(struct process *process, uv_loop_t *loop)
 {
-    static const struct http_service_limits limits = {METRICS_BODY_LIMIT, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {METRICS_BODY_LIMIT,
+                                                      HTTP_SERVICE_IDLE_TIMEOUT_MS};
     struct sockaddr_in address;
     uv_ip4_addr(process->settings->address, (int)process->settings->metrics_port, &address);
     process->metrics = http_service_start(loop, &address, &limits, on_metrics, process);
--- a/src/cluster/state_sync.c
+++ b/src/cluster/state_sync.c
@@ -28,7 +28,7 @@
 
 struct state_sync *state_sync_create(struct cluster *cluster)
 {
-    struct state_sync *sync = memory_zero(1, sizeof *sync);
+    struct state_sync *sync = memory_calloc(1, sizeof *sync);
     sync->cluster = cluster;
     return sync;
 }
@@ -70,7 +70,7 @@
     if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN ||
         length > ANSWER_LIMIT)
         return NULL;
-    uint8_t *plain = memory_zero(length, 1);
+    uint8_t *plain = memory_calloc(length, 1);
     size_t plain_size = ZSTD_decompress(plain, length, bytes, size);
     Shuntrun__StateChanges *changes = NULL;
     if (!ZSTD_isError(plain_size))
@@ -79,17 +79,18 @@
     return changes;
 }
 
-static void on_changes(void *context, enum call_result result, const struct http_message *message)
+static void on_changes(void *context, enum http_call_result result,
+                       const struct http_message *message)
 {
     struct state_sync *sync = context;
     sync->asking = false;
     uint32_t peer = sync->peer;
     sync->peer = 0;
     sync->heard_at = 0;
-    unsigned status = result == CALL_ANSWERED ? http_message_status(message) : 0;
+    unsigned status = result == CALL_COMPLETE ? http_message_status(message) : 0;
     if (status != 200) {
         log_event(LOG_LEVEL_WARN, "state", "peer-failed", "peer=%08x result=\"%s\" status=%u", peer,
-                  call_result_name(result), status);
+                  http_call_result_name(result), status);
         return;
     }
     Shuntrun__StateChanges *changes = unpack_changes(message->body.data, message->body.size);
@@ -119,12 +120,12 @@
     snprintf(target, sizeof target, STATE_PATH "?after=%llu%s",
              (unsigned long long)state_cache_revision(sync->cluster->state),
              sync->cluster->holds_all ? "" : "&operator=1");
-    struct caller_request request = {.method = "GET",
-                                     .target = target,
-                                     .timeout_ms = TIMEOUT_MS,
-                                     .body_limit = ANSWER_LIMIT,
-                                     .done = on_changes,
-                                     .context = sync};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target,
+                                          .timeout_ms = TIMEOUT_MS,
+                                          .body_limit = ANSWER_LIMIT,
+                                          .done = on_changes,
+                                          .context = sync};
     http_caller_send(sync->caller, &request);
 }
 
@@ -178,7 +179,7 @@
 static void reply_compressed(struct service_call *call, const uint8_t *bytes, size_t size)
 {
     size_t bound = ZSTD_compressBound(size);
-    uint8_t *compressed = memory_zero(bound, 1);
+    uint8_t *compressed = memory_calloc(bound, 1);
     size_t length = ZSTD_compress(compressed, bound, bytes, size, COMPRESSION_LEVEL);
     if (ZSTD_isError(length))
         service_reply(call, 500, NULL, NULL, 0);
@@ -202,8 +203,8 @@
     const struct state_cache *state = sync->cluster->state;
     uint64_t now = cluster_now();
     uint32_t most = state_cache_count(state);
-    Shuntrun__StateItem *items = memory_zero(most, sizeof *items);
-    Shuntrun__StateItem **pointers = memory_zero(most, sizeof *pointers);
+    Shuntrun__StateItem *items = memory_calloc(most, sizeof *items);
+    Shuntrun__StateItem **pointers = memory_calloc(most, sizeof *pointers);
     Shuntrun__StateChanges changes = SHUNTRUN__STATE_CHANGES__INIT;
     changes.whole = !can_tell_changes(state, after, operator_only);
     changes.revision = state_cache_revision(state);
@@ -219,7 +220,7 @@
         changes.n_items++;
     }
     size_t size = shuntrun__state_changes__get_packed_size(&changes);
-    uint8_t *bytes = memory_zero(size, 1);
+    uint8_t *bytes = memory_calloc(size, 1);
     shuntrun__state_changes__pack(&changes, bytes);
     reply_compressed(call, bytes, size);
     free(bytes);
--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -112,27 +112,28 @@
         call_store(reader);
 }
 
-static enum store_failure failure_of(enum call_result result)
+static enum store_failure failure_of(enum http_call_result result)
 {
     switch (result) {
     case CALL_BROKEN:
         return STORE_DISCONNECTED;
-    case CALL_SILENT:
+    case CALL_TIMED_OUT:
         return STORE_TIMED_OUT;
     default:
         return STORE_UNAVAILABLE;
     }
 }
 
-static void on_answer(void *context, enum call_result result, const struct http_message *message)
+static void on_answer(void *context, enum http_call_result result,
+                      const struct http_message *message)
 {
     struct store_reader *reader = context;
     struct store_answer answer;
     char reason[64];
     if (reader->duty == READER_INACTIVE)
         return;
-    if (result != CALL_ANSWERED) {
-        on_failure(reader, failure_of(result), call_result_name(result));
+    if (result != CALL_COMPLETE) {
+        on_failure(reader, failure_of(result), http_call_result_name(result));
         return;
     }
     unsigned status = http_message_status(message);
@@ -161,11 +162,11 @@
     struct buffer target = {0};
     store_watch_advance(&reader->watch, state_cache_revision(reader->cluster->state));
     struct store_call call = store_watch_next_call(&reader->watch);
-    struct caller_request request = {.method = "GET",
-                                     .timeout_ms = call.timeout_ms,
-                                     .body_limit = ANSWER_LIMIT,
-                                     .done = on_answer,
-                                     .context = reader};
+    struct http_caller_request request = {.method = "GET",
+                                          .timeout_ms = call.timeout_ms,
+                                          .body_limit = ANSWER_LIMIT,
+                                          .done = on_answer,
+                                          .context = reader};
     if (call.watches)
         platform_write_watch_call(PLATFORM_ALL_KEYS, reader->watch.revision, call.wait_ms, &target);
     else
@@ -180,7 +181,7 @@
 
 struct store_reader *store_reader_create(struct cluster *cluster)
 {
-    struct store_reader *reader = memory_zero(1, sizeof *reader);
+    struct store_reader *reader = memory_calloc(1, sizeof *reader);
     reader->cluster = cluster;
     if (!tcp_address_parse(cluster->settings->store_address, &reader->address)) {
         log_event(LOG_LEVEL_ERROR, "store", "bad-address", "address=%s",
--- a/src/core/address_index.c
+++ b/src/core/address_index.c
@@ -28,7 +28,7 @@
 {
     struct address_index larger = {.capacity =
                                        index->capacity ? 2 * index->capacity : INITIAL_CAPACITY};
-    larger.slots = memory_zero(larger.capacity, sizeof *larger.slots);
+    larger.slots = memory_calloc(larger.capacity, sizeof *larger.slots);
     for (uint32_t i = 0; i < index->capacity; i++)
         if (index->slots[i].address)
             *slot_of(&larger, index->slots[i].address) = index->slots[i];
--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -11,7 +11,7 @@
 void admission_configure(struct admission *admission, uint32_t limit,
                          const struct tenant_config *tenants, uint32_t count)
 {
-    struct admission_tenant *next = memory_zero(count, sizeof *next);
+    struct admission_tenant *next = memory_calloc(count, sizeof *next);
     uint64_t weight_sum = 0;
     uint32_t active = 0;
     for (uint32_t i = 0; i < count; i++) {
--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -16,7 +16,7 @@
 struct backend_pool *backend_pool_create(const struct backend_pool_settings *settings,
                                          uint64_t seed)
 {
-    struct backend_pool *pool = memory_zero(1, sizeof *pool);
+    struct backend_pool *pool = memory_calloc(1, sizeof *pool);
     pool->settings = *settings;
     pool->random.seed = seed;
     pool->sound = true;
@@ -68,7 +68,7 @@
 
 static struct backend *add(struct backend_pool *pool, const struct backend_listing *listing)
 {
-    struct backend *backend = memory_zero(1, sizeof *backend);
+    struct backend *backend = memory_calloc(1, sizeof *backend);
     /* A new entry replaces the one that was listed at its address before. */
     struct backend *before = backend_table_find_address(&pool->table, listing->address);
     if (before)
--- a/src/core/backend_table.c
+++ b/src/core/backend_table.c
@@ -89,7 +89,7 @@
     struct backend_group *group = backend_table_group(table, service);
     if (group)
         return group;
-    table->groups = memory_resize(table->groups, (table->group_count + 1) * sizeof *table->groups);
+    table->groups = memory_realloc(table->groups, (table->group_count + 1) * sizeof *table->groups);
     group = &table->groups[table->group_count++];
     *group = (struct backend_group){.count = 0};
     snprintf(group->service, sizeof group->service, "%s", service);
@@ -137,8 +137,8 @@
 void backend_table_add(struct backend_table *table, struct backend *backend)
 {
     struct backend_group *group = group_for(table, backend->listing.service);
-    table->items = memory_resize(table->items, (table->count + 1) * sizeof *table->items);
-    group->items = memory_resize(group->items, (group->count + 1) * sizeof *group->items);
+    table->items = memory_realloc(table->items, (table->count + 1) * sizeof *table->items);
+    group->items = memory_realloc(group->items, (group->count + 1) * sizeof *group->items);
     backend->table_index = table->count;
     table->items[table->count++] = backend;
     set_in_group(group, group->count, backend);
--- a/src/core/crash_table.c
+++ b/src/core/crash_table.c
@@ -18,11 +18,11 @@
 
 struct crash_table *crash_table_create(void)
 {
-    struct crash_table *table = memory_zero(1, sizeof *table);
-    table->entries = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->entries);
-    table->prefixes = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->prefixes);
-    table->findings = memory_zero(CRASH_MAX_ENTRIES, sizeof *table->findings);
-    table->findings_valid_until = memory_zero(1, sizeof *table->findings_valid_until);
+    struct crash_table *table = memory_calloc(1, sizeof *table);
+    table->entries = memory_calloc(CRASH_MAX_ENTRIES, sizeof *table->entries);
+    table->prefixes = memory_calloc(CRASH_MAX_ENTRIES, sizeof *table->prefixes);
+    table->findings = memory_calloc(CRASH_MAX_ENTRIES, sizeof *table->findings);
+    table->findings_valid_until = memory_calloc(1, sizeof *table->findings_valid_until);
     return table;
 }
 
--- a/src/core/crash_verdict.c
+++ b/src/core/crash_verdict.c
@@ -51,7 +51,7 @@
         most += has_repeated_crashes(&entries[i]) ? entries[i].crash_count : 0;
     if (!most)
         return participants;
-    participants.items = memory_zero(most, sizeof *participants.items);
+    participants.items = memory_calloc(most, sizeof *participants.items);
     for (uint32_t i = 0; i < count; i++)
         for (uint32_t k = 0; has_repeated_crashes(&entries[i]) && k < entries[i].crash_count; k++)
             participants.items[participants.count++] =
@@ -312,8 +312,8 @@
         .now = now,
         .findings = findings,
         .participants = collect_participants(entries, count),
-        .explained = memory_zero(count ? count : 1, sizeof *evaluation.explained),
-        .chosen = memory_zero(count ? count : 1, sizeof *evaluation.chosen),
+        .explained = memory_calloc(count ? count : 1, sizeof *evaluation.explained),
+        .chosen = memory_calloc(count ? count : 1, sizeof *evaluation.chosen),
     };
     do {
         update_evidence(&evaluation);
--- a/src/core/document.c
+++ b/src/core/document.c
@@ -29,7 +29,7 @@
     free(document->versions[DOCUMENT_HISTORY - 1].body);
     memmove(&document->versions[1], &document->versions[0],
             (DOCUMENT_HISTORY - 1) * sizeof document->versions[0]);
-    document->versions[0] = (struct document_version){revision, memory_copy(body, size), size};
+    document->versions[0] = (struct document_version){revision, memory_duplicate(body, size), size};
     return STATUS_OK;
 }
 
@@ -56,7 +56,7 @@
         return status_fail(STATUS_NOT_FOUND, "nothing newer");
     const struct document_version *base = find_version(document, known_revision);
     size_t bound = ZSTD_compressBound(newest->size);
-    uint8_t *packed = memory_zero(bound, 1);
+    uint8_t *packed = memory_calloc(bound, 1);
     ZSTD_CCtx *compressor = ZSTD_createCCtx();
     ZSTD_CCtx_setParameter(compressor, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
     ZSTD_CCtx_setParameter(compressor, ZSTD_c_windowLog, WINDOW_LOG);
@@ -73,7 +73,7 @@
     reply->base_revision = base ? base->revision : 0;
     reply->length = newest->size;
     reply->body = (ProtobufCBinaryData){packed_size, packed};
-    reply->digest = (ProtobufCBinaryData){DIGEST_SIZE, memory_copy(digest.bytes, DIGEST_SIZE)};
+    reply->digest = (ProtobufCBinaryData){DIGEST_SIZE, memory_duplicate(digest.bytes, DIGEST_SIZE)};
     return STATUS_OK;
 }
 
@@ -103,7 +103,7 @@
         return status_fail(STATUS_NOT_FOUND, "the base revision is not held any more");
     if (reply->length > DOCUMENT_MAX_BYTES)
         return status_fail(STATUS_EXHAUSTED, "a document from a peer is too large");
-    char *buffer = memory_zero(reply->length + 1, 1);
+    char *buffer = memory_calloc(reply->length + 1, 1);
     enum status status = decompress(base, reply, buffer);
     if (status != STATUS_OK) {
         free(buffer);
--- a/src/core/executor.c
+++ b/src/core/executor.c
@@ -58,7 +58,7 @@
                                  uint64_t incarnation, uint64_t now,
                                  const struct executor_driver *driver)
 {
-    struct executor *executor = memory_zero(1, sizeof *executor);
+    struct executor *executor = memory_calloc(1, sizeof *executor);
     executor->settings = *settings;
     executor->driver = *driver;
     executor->self = self;
@@ -67,7 +67,7 @@
     executor->last_event = now;
     executor->next_run = 1;
     executor->keys = key_table_create(settings->key_limit);
-    executor->runs = memory_zero(settings->capacity, sizeof *executor->runs);
+    executor->runs = memory_calloc(settings->capacity, sizeof *executor->runs);
     return executor;
 }
 
@@ -85,8 +85,8 @@
     for (uint32_t i = 0; i < config->service_count && i < MAX_SERVICES; i++) {
         struct service_config *service = &executor->services[executor->service_count++];
         *service = config->services[i];
-        service->machines =
-            memory_copy(config->services[i].machines, service->machine_count * sizeof(uint64_t));
+        service->machines = memory_duplicate(config->services[i].machines,
+                                             service->machine_count * sizeof(uint64_t));
     }
     admission_configure(&executor->admission, executor->settings.capacity, config->tenants,
                         config->tenant_count);
@@ -351,7 +351,7 @@
     if (forward->idempotency_key[0]) {
         struct key_entry *entry;
         uint64_t window = (KEPT_EPOCHS + 1) * executor->settings.key_window_us;
-        run->key = memory_string(forward->idempotency_key);
+        run->key = memory_strdup(forward->idempotency_key);
         key_table_insert(executor->keys, run->key, now + window, &entry);
     }
     return run;
@@ -419,7 +419,7 @@
 {
     if (run->collected_size > KEY_MAX_ANSWER_SIZE)
         return;
-    run->collected = memory_resize(run->collected, run->collected_size + size);
+    run->collected = memory_realloc(run->collected, run->collected_size + size);
     memcpy(run->collected + run->collected_size, data, size);
     run->collected_size += size;
 }
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -109,7 +109,7 @@
 
     struct fleet parsed = {0};
     parsed.count = (uint32_t)json_array_size(list);
-    parsed.machines = memory_zero(parsed.count, sizeof *parsed.machines);
+    parsed.machines = memory_calloc(parsed.count, sizeof *parsed.machines);
     for (uint32_t i = 0; i < parsed.count; i++) {
         char place[32];
         snprintf(place, sizeof place, "machines[%u]", i);
--- a/src/core/fleet_config.c
+++ b/src/core/fleet_config.c
@@ -78,7 +78,7 @@
         report(place, "machines", "must list 1 to 4096 machines");
         return;
     }
-    service->machines = memory_zero(count, sizeof *service->machines);
+    service->machines = memory_calloc(count, sizeof *service->machines);
     for (size_t i = 0; i < count; i++) {
         const char *name = json_string_value(json_array_get(list, i));
         if (name)
@@ -139,7 +139,7 @@
         length = 0;
     }
     *count = (uint32_t)length;
-    return memory_zero(length, size);
+    return memory_calloc(length, size);
 }
 
 #define READ_LIST(root, place, list_name, items, count, read)                                      \
@@ -154,12 +154,12 @@
 
 static char *join_lines(const json_t *list)
 {
-    char *text = memory_string("");
+    char *text = memory_strdup("");
     size_t used = 0;
     for (size_t i = 0; i < json_array_size(list); i++) {
         const char *line = json_string_value(json_array_get(list, i));
         size_t length = line ? strlen(line) : 0;
-        text = memory_resize(text, used + length + 2);
+        text = memory_realloc(text, used + length + 2);
         memcpy(text + used, line ? line : "", length);
         used += length;
         text[used++] = '\n';
@@ -171,7 +171,7 @@
 static char *read_policy(const json_t *root)
 {
     const json_t *policy = json_object_get(root, "policy");
-    return json_is_array(policy) ? join_lines(policy) : memory_string(json_string_value(policy));
+    return json_is_array(policy) ? join_lines(policy) : memory_strdup(json_string_value(policy));
 }
 
 char *fleet_config_policy_text(const char *text, size_t size)
@@ -248,7 +248,7 @@
         fleet_config_clear(&parsed);
         return status_fail(STATUS_INVALID, "%s: %zu errors", name, findings->error_count - before);
     }
-    parsed.body = memory_copy(text, size);
+    parsed.body = memory_duplicate(text, size);
     parsed.body_size = size;
     parsed.body_digest = digest_of(text, size);
     *config = parsed;
--- a/src/core/key_table.c
+++ b/src/core/key_table.c
@@ -21,7 +21,7 @@
 
 struct key_table *key_table_create(uint32_t limit)
 {
-    struct key_table *table = memory_zero(1, sizeof *table);
+    struct key_table *table = memory_calloc(1, sizeof *table);
     table->limit = limit;
     return table;
 }
@@ -67,8 +67,8 @@
     if (table->count >= table->limit)
         return status_fail(STATUS_EXHAUSTED, "%u idempotency keys are held", table->count);
     struct key_node **link = find_link(table, key);
-    struct key_node *node = memory_zero(1, sizeof *node);
-    node->entry.key = memory_string(key);
+    struct key_node *node = memory_calloc(1, sizeof *node);
+    node->entry.key = memory_strdup(key);
     node->entry.state = KEY_RUNNING;
     node->entry.expires = expires;
     node->next = *link;
@@ -95,7 +95,7 @@
     entry->state = state;
     entry->answer_kept = state == KEY_DONE && size <= KEY_MAX_ANSWER_SIZE;
     if (entry->answer_kept) {
-        entry->answer = memory_copy(answer, size);
+        entry->answer = memory_duplicate(answer, size);
         entry->answer_size = size;
     }
 }
--- a/src/core/load_targets.c
+++ b/src/core/load_targets.c
@@ -42,7 +42,7 @@
     struct region_loaders *region = find_region(counts, member->region);
     if (!region) {
         counts->regions =
-            memory_resize(counts->regions, (counts->region_count + 1) * sizeof *counts->regions);
+            memory_realloc(counts->regions, (counts->region_count + 1) * sizeof *counts->regions);
         region = &counts->regions[counts->region_count++];
         *region = (struct region_loaders){.region = member->region};
     }
@@ -104,8 +104,8 @@
         return;
     struct loader_counts counts = count_loaders(membership);
     targets->generation = generation;
-    targets->addresses = memory_resize(targets->addresses, (membership_count(membership) + 1) *
-                                                               sizeof *targets->addresses);
+    targets->addresses = memory_realloc(targets->addresses, (membership_count(membership) + 1) *
+                                                                sizeof *targets->addresses);
     targets->near_count = 0;
     targets->near_count = add_gateways(targets, membership, &counts, true);
     targets->far_count = add_gateways(targets, membership, &counts, false);
--- a/src/core/manifest.c
+++ b/src/core/manifest.c
@@ -36,7 +36,7 @@
 static enum status read_chunks(const json_t *root, struct manifest *manifest)
 {
     const json_t *list = json_object_get(root, "chunks");
-    manifest->chunks = memory_zero(manifest->chunk_count, sizeof *manifest->chunks);
+    manifest->chunks = memory_calloc(manifest->chunk_count, sizeof *manifest->chunks);
     for (uint32_t i = 0; i < manifest->chunk_count; i++) {
         const char *hex = json_string_value(json_array_get(list, i));
         if (digest_from_hex(hex, &manifest->chunks[i]) != STATUS_OK)
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -33,7 +33,7 @@
                                      const struct member_state *self, uint64_t seed,
                                      const struct membership_driver *driver)
 {
-    struct membership *membership = memory_zero(1, sizeof *membership);
+    struct membership *membership = memory_calloc(1, sizeof *membership);
     membership->settings = *settings;
     membership->driver = *driver;
     membership->self = *self;
@@ -120,7 +120,7 @@
 static struct member_state *add_member(struct membership *membership, uint32_t address)
 {
     membership->members =
-        memory_resize(membership->members, (membership->count + 1) * sizeof *membership->members);
+        memory_realloc(membership->members, (membership->count + 1) * sizeof *membership->members);
     /* At a random index, so that nodes do not probe the members in order of joining. */
     uint32_t index = (uint32_t)random_below(&membership->random, ++membership->count);
     uint32_t last = membership->count - 1;
--- a/src/core/membership_news.c
+++ b/src/core/membership_news.c
@@ -223,7 +223,7 @@
 {
     uint32_t next[MEMBERSHIP_BUCKETS];
     memset(order->first, 0, sizeof order->first);
-    order->indexes = memory_zero(membership->count + 1, sizeof *order->indexes);
+    order->indexes = memory_calloc(membership->count + 1, sizeof *order->indexes);
     for (uint32_t i = 0; i < membership->count; i++)
         order->first[bucket_of(&membership->members[i], region) + 1]++;
     for (uint32_t bucket = 0; bucket < MEMBERSHIP_BUCKETS; bucket++) {
--- a/src/core/news_targets.c
+++ b/src/core/news_targets.c
@@ -75,7 +75,7 @@
                        struct random_stream *random, uint32_t *count)
 {
     struct target_list list = {.count = 0};
-    list.addresses = memory_zero(membership_count(membership) + 1, sizeof *list.addresses);
+    list.addresses = memory_calloc(membership_count(membership) + 1, sizeof *list.addresses);
     if (membership_self(membership)->role == MEMBER_GATEWAY) {
         add_gateways(membership, revision, random, &list);
         add_loaders(membership, revision, &list);
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -24,7 +24,7 @@
                          enum machine_role role, uint64_t seed, uint64_t now,
                          const struct node_driver *driver)
 {
-    struct node *node = memory_zero(1, sizeof *node);
+    struct node *node = memory_calloc(1, sizeof *node);
     node->settings = *settings;
     node->driver = *driver;
     node->random.seed = seed;
@@ -149,7 +149,7 @@
     enum status status = document_accept(&reader->document, revision, body, size);
     assert(status == STATUS_OK);
     clear_config(node);
-    node->config = memory_copy(&config, sizeof config);
+    node->config = memory_duplicate(&config, sizeof config);
     node->policy = policy;
     place_again(node);
     node_peers_flush(node, now);
@@ -200,7 +200,7 @@
     if (revision <= node->parked.revision)
         return;
     free(node->parked.body);
-    node->parked = (struct document_version){revision, memory_copy(body, size), size};
+    node->parked = (struct document_version){revision, memory_duplicate(body, size), size};
 }
 
 static void take_document(struct node *node, uint64_t now, Shuntrun__DocumentKind kind,
--- a/src/core/node_peers.c
+++ b/src/core/node_peers.c
@@ -24,7 +24,7 @@
     struct peer *known = find_peer(node, id);
     if (known || node->peer_count == MAX_PEERS)
         return known;
-    node->peers = memory_resize(node->peers, (node->peer_count + 1) * sizeof *node->peers);
+    node->peers = memory_realloc(node->peers, (node->peer_count + 1) * sizeof *node->peers);
     struct peer *peer = &node->peers[node->peer_count++];
     *peer = (struct peer){.id = id};
     return peer;
@@ -89,7 +89,7 @@
 
 static void link_neighbours(struct node *node)
 {
-    struct member *members = memory_zero(node->fleet.count, sizeof *members);
+    struct member *members = memory_calloc(node->fleet.count, sizeof *members);
     int64_t self = fleet_find(&node->fleet, node->id);
     uint16_t region = 0;
     for (uint32_t i = 0; i < node->fleet.count; i++) {
@@ -139,7 +139,7 @@
 void node_want_links(struct node *node, const uint64_t *ids, uint32_t count)
 {
     free(node->wanted_links);
-    node->wanted_links = memory_copy(ids, count * sizeof *ids);
+    node->wanted_links = memory_duplicate(ids, count * sizeof *ids);
     node->wanted_link_count = count;
     node_peers_rebuild(node);
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -45,7 +45,7 @@
 /* Distinct texts at one place of all machines; there are few of them. */
 static uint32_t count_distinct(const struct fleet *fleet, size_t offset)
 {
-    const char **names = memory_zero(fleet->count, sizeof *names);
+    const char **names = memory_calloc(fleet->count, sizeof *names);
     uint32_t distinct = 0;
     for (uint32_t i = 0; i < fleet->count; i++) {
         const char *name = (const char *)&fleet->machines[i] + offset;
@@ -142,9 +142,9 @@
                         uint32_t *free_accelerators, struct model_placement *placement,
                         struct findings *findings)
 {
-    struct candidate *candidates = memory_zero(fleet->count, sizeof *candidates);
-    placement->reasons = memory_zero(fleet->count, sizeof *placement->reasons);
-    placement->targets = memory_zero(fleet->count, sizeof *placement->targets);
+    struct candidate *candidates = memory_calloc(fleet->count, sizeof *candidates);
+    placement->reasons = memory_calloc(fleet->count, sizeof *placement->reasons);
+    placement->targets = memory_calloc(fleet->count, sizeof *placement->targets);
     uint32_t count =
         list_candidates(fleet, model, policy, free_accelerators, placement, candidates, findings);
     uint32_t wanted = model->replicas;
@@ -166,10 +166,10 @@
 {
     struct placement placement = {.model_count = config->model_count};
     struct fleet_summary summary = fleet_summarize(fleet);
-    uint32_t *free_accelerators = memory_zero(fleet->count, sizeof *free_accelerators);
+    uint32_t *free_accelerators = memory_calloc(fleet->count, sizeof *free_accelerators);
     for (uint32_t i = 0; i < fleet->count; i++)
         free_accelerators[i] = fleet->machines[i].accelerators;
-    placement.models = memory_zero(config->model_count, sizeof *placement.models);
+    placement.models = memory_calloc(config->model_count, sizeof *placement.models);
     for (uint32_t i = 0; i < config->model_count; i++)
         place_model(&config->models[i], fleet, &summary, policy, free_accelerators,
                     &placement.models[i], findings);
@@ -180,7 +180,7 @@
 void placement_order_tenants(struct policy *policy, struct fleet_config *config,
                              struct findings *findings)
 {
-    double *orders = memory_zero(config->tenant_count, sizeof *orders);
+    double *orders = memory_calloc(config->tenant_count, sizeof *orders);
     for (uint32_t i = 0; i < config->tenant_count; i++)
         orders[i] = policy ? policy_tenant_order(policy, &config->tenants[i], findings) : 0;
     for (uint32_t i = 0; i < config->tenant_count; i++) {
@@ -195,7 +195,7 @@
                          struct service_config *service)
 {
     uint64_t key = hash_name(service->name);
-    struct candidate *candidates = memory_zero(placement->target_count, sizeof *candidates);
+    struct candidate *candidates = memory_calloc(placement->target_count, sizeof *candidates);
     for (uint32_t i = 0; i < placement->target_count; i++) {
         uint64_t id = fleet->machines[placement->targets[i]].id;
         candidates[i] =
@@ -205,7 +205,7 @@
     uint32_t count = placement->target_count;
     service->machine_count = count < PLACEMENT_KEY_HOMES ? count : PLACEMENT_KEY_HOMES;
     free(service->machines);
-    service->machines = memory_zero(service->machine_count, sizeof *service->machines);
+    service->machines = memory_calloc(service->machine_count, sizeof *service->machines);
     for (uint32_t i = 0; i < service->machine_count; i++)
         service->machines[i] = candidates[i].id;
     ids_sort(service->machines, service->machine_count);
--- a/src/core/policy.c
+++ b/src/core/policy.c
@@ -163,8 +163,8 @@
 
 struct policy *policy_create(const char *name, const char *program, struct findings *findings)
 {
-    struct policy *policy = memory_zero(1, sizeof *policy);
-    policy->name = memory_string(name);
+    struct policy *policy = memory_calloc(1, sizeof *policy);
+    policy->name = memory_strdup(name);
     policy->lua = lua_newstate(bounded_allocate, policy);
     if (!policy->lua) {
         findings_add(findings, FINDING_ERROR, name, "no memory for the program");
--- a/src/core/replay_guard.c
+++ b/src/core/replay_guard.c
@@ -17,7 +17,8 @@
             oldest = window;
     }
     if (guard->count < REPLAY_GUARD_MAX_GATEWAYS) {
-        guard->windows = memory_resize(guard->windows, (guard->count + 1) * sizeof *guard->windows);
+        guard->windows =
+            memory_realloc(guard->windows, (guard->count + 1) * sizeof *guard->windows);
         oldest = &guard->windows[guard->count++];
     }
     *oldest = (struct replay_window){.incarnation = incarnation};
--- a/src/core/route_table.c
+++ b/src/core/route_table.c
@@ -43,7 +43,7 @@
 
 struct route_table *route_table_create(uint64_t version)
 {
-    struct route_table *table = memory_zero(1, sizeof *table);
+    struct route_table *table = memory_calloc(1, sizeof *table);
     table->references = 1;
     table->version = version;
     return table;
@@ -91,8 +91,8 @@
         return existing;
     uint32_t index = table->service_count++;
     table->services =
-        memory_resize(table->services, table->service_count * sizeof *table->services);
-    table->services[index] = (struct service_entry){.name = memory_string(name)};
+        memory_realloc(table->services, table->service_count * sizeof *table->services);
+    table->services[index] = (struct service_entry){.name = memory_strdup(name)};
     return index;
 }
 
@@ -104,22 +104,22 @@
 uint32_t route_table_add_tenant(struct route_table *table, const char *name, uint32_t priority)
 {
     uint32_t index = table->tenant_count++;
-    table->tenants = memory_resize(table->tenants, table->tenant_count * sizeof *table->tenants);
-    table->tenants[index] = (struct tenant_entry){memory_string(name), priority};
+    table->tenants = memory_realloc(table->tenants, table->tenant_count * sizeof *table->tenants);
+    table->tenants[index] = (struct tenant_entry){memory_strdup(name), priority};
     return index;
 }
 
 void route_table_add_key(struct route_table *table, uint32_t tenant, const char *key)
 {
     uint32_t index = table->key_count++;
-    table->keys = memory_resize(table->keys, table->key_count * sizeof *table->keys);
-    table->keys[index] = (struct key_entry){memory_string(key), tenant};
+    table->keys = memory_realloc(table->keys, table->key_count * sizeof *table->keys);
+    table->keys[index] = (struct key_entry){memory_strdup(key), tenant};
 }
 
 void route_table_add_route(struct route_table *table, const struct route *route)
 {
     uint32_t index = table->route_count++;
-    table->routes = memory_resize(table->routes, table->route_count * sizeof *table->routes);
+    table->routes = memory_realloc(table->routes, table->route_count * sizeof *table->routes);
     table->routes[index] = *route;
 }
 
@@ -133,7 +133,7 @@
     uint32_t size = 16;
     while (size < 2 * entries)
         size *= 2;
-    index->slots = memory_zero(size, sizeof *index->slots);
+    index->slots = memory_calloc(size, sizeof *index->slots);
     index->mask = size - 1;
 }
 
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -16,7 +16,7 @@
 struct router *router_create(const struct router_settings *settings, uint64_t incarnation,
                              uint64_t seed, const struct router_driver *driver)
 {
-    struct router *router = memory_zero(1, sizeof *router);
+    struct router *router = memory_calloc(1, sizeof *router);
     router->settings = *settings;
     router->driver = *driver;
     router->incarnation = incarnation;
@@ -69,7 +69,7 @@
     if (router->request_count == router->request_capacity) {
         router->request_capacity = router->request_capacity ? 2 * router->request_capacity : 64;
         router->requests =
-            memory_resize(router->requests, router->request_capacity * sizeof *router->requests);
+            memory_realloc(router->requests, router->request_capacity * sizeof *router->requests);
     }
     router->requests[router->request_count++] = request;
 }
@@ -242,15 +242,15 @@
 static struct request *make_request(uint64_t now, uint64_t caller, uint32_t tenant,
                                     const struct router_request *from)
 {
-    struct request *request = memory_zero(1, sizeof *request);
+    struct request *request = memory_calloc(1, sizeof *request);
     request->caller = caller;
     request->tenant = tenant;
     request->arrived = now;
     request->deadline = now + from->timeout_us;
     request->unrepeatable = from->unrepeatable || from->key[0];
     request->priority = from->priority;
-    request->key = memory_string(from->key);
-    request->body = memory_copy(from->body, from->body_size);
+    request->key = memory_strdup(from->key);
+    request->body = memory_duplicate(from->body, from->body_size);
     request->body_size = from->body_size;
     snprintf(request->tenant_name, sizeof request->tenant_name, "%s", from->tenant);
     snprintf(request->service, sizeof request->service, "%s", from->service);
--- a/src/core/router_agents.c
+++ b/src/core/router_agents.c
@@ -18,7 +18,7 @@
         if (router->records[i].id == id)
             return &router->records[i];
     router->records =
-        memory_resize(router->records, (router->record_count + 1) * sizeof *router->records);
+        memory_realloc(router->records, (router->record_count + 1) * sizeof *router->records);
     struct agent_record *record = &router->records[router->record_count++];
     *record = (struct agent_record){.id = id};
     return record;
--- a/src/core/routing_view.c
+++ b/src/core/routing_view.c
@@ -24,7 +24,7 @@
     for (uint32_t i = 0; i < *count; i++)
         if ((*ids)[i] == id)
             return;
-    *ids = memory_resize(*ids, (*count + 1) * sizeof **ids);
+    *ids = memory_realloc(*ids, (*count + 1) * sizeof **ids);
     (*ids)[(*count)++] = id;
 }
 
@@ -42,7 +42,7 @@
 {
     const struct model_placement *placement = &node_placement(node)->models[model];
     const struct fleet *fleet = node_fleet(node);
-    struct ranked *ranked = memory_zero(placement->target_count, sizeof *ranked);
+    struct ranked *ranked = memory_calloc(placement->target_count, sizeof *ranked);
     for (uint32_t i = 0; i < placement->target_count; i++) {
         uint64_t id = fleet->machines[placement->targets[i]].id;
         ranked[i] = (struct ranked){id, hash_pair(node_id(node), id)};
@@ -104,8 +104,8 @@
     service->kind = config->kind;
     service->homes = *config;
     service->homes.machines =
-        memory_copy(config->machines, config->machine_count * sizeof *config->machines);
-    service->agents = memory_zero(view->agent_count, sizeof *service->agents);
+        memory_duplicate(config->machines, config->machine_count * sizeof *config->machines);
+    service->agents = memory_calloc(view->agent_count, sizeof *service->agents);
     for (uint32_t i = 0; i < view->agent_count; i++) {
         const struct route_agent *agent = &view->agents[i];
         bool serves = config->kind == SERVICE_MODEL
@@ -125,17 +125,18 @@
     uint32_t count;
     uint64_t *ids = routing_view_links(node, subset, &count);
     ids_sort(ids, count);
-    struct routing_view *view = memory_zero(1, sizeof *view);
+    struct routing_view *view = memory_calloc(1, sizeof *view);
     view->revision = config->revision;
-    view->agents = memory_zero(count, sizeof *view->agents);
+    view->agents = memory_calloc(count, sizeof *view->agents);
     for (uint32_t i = 0; i < count; i++)
         add_agent(view, node, ids[i], zone, region, now);
     free(ids);
-    view->services = memory_zero(config->service_count, sizeof *view->services);
+    view->services = memory_calloc(config->service_count, sizeof *view->services);
     for (uint32_t i = 0; i < config->service_count; i++)
         add_service(view, &config->services[i]);
     view->tenant_count = config->tenant_count;
-    view->tenants = memory_copy(config->tenants, config->tenant_count * sizeof *config->tenants);
+    view->tenants =
+        memory_duplicate(config->tenants, config->tenant_count * sizeof *config->tenants);
     return view;
 }
 
--- a/src/core/state_cache.c
+++ b/src/core/state_cache.c
@@ -18,7 +18,7 @@
 
 struct state_cache *state_cache_create(const struct state_cache_listener *listener)
 {
-    struct state_cache *cache = memory_zero(1, sizeof *cache);
+    struct state_cache *cache = memory_calloc(1, sizeof *cache);
     cache->listener = *listener;
     return cache;
 }
@@ -64,9 +64,9 @@
     uint32_t index = find_index(cache, key, &found);
     if (found)
         return cache->items[index];
-    struct state_item *item = memory_zero(1, sizeof *item);
-    item->key = memory_string(key);
-    cache->items = memory_resize(cache->items, (cache->count + 1) * sizeof *cache->items);
+    struct state_item *item = memory_calloc(1, sizeof *item);
+    item->key = memory_strdup(key);
+    cache->items = memory_realloc(cache->items, (cache->count + 1) * sizeof *cache->items);
     memmove(cache->items + index + 1, cache->items + index,
             (cache->count - index) * sizeof *cache->items);
     cache->items[index] = item;
@@ -82,7 +82,7 @@
     if (revision <= item->revision)
         return false;
     free(item->value);
-    item->value = memory_resize(NULL, size + 1);
+    item->value = memory_realloc(NULL, size + 1);
     if (size)
         memcpy(item->value, value, size);
     item->value[size] = 0;
--- a/src/core/swarm.c
+++ b/src/core/swarm.c
@@ -22,7 +22,7 @@
 struct swarm *swarm_create(const struct swarm_settings *settings, uint64_t self, uint64_t rollout,
                            uint32_t chunk_count, uint64_t seed, const struct swarm_driver *driver)
 {
-    struct swarm *swarm = memory_zero(1, sizeof *swarm);
+    struct swarm *swarm = memory_calloc(1, sizeof *swarm);
     swarm->settings = *settings;
     swarm->driver = *driver;
     swarm->self = self;
@@ -30,10 +30,10 @@
     swarm->random.seed = seed;
     swarm->chunk_count = chunk_count;
     swarm->words = bitmap_words(chunk_count);
-    swarm->have = memory_zero(swarm->words, sizeof(uint64_t));
-    swarm->open = memory_zero(swarm->words, sizeof(uint64_t));
-    swarm->availability = memory_zero(chunk_count, sizeof(uint16_t));
-    swarm->arrivals = memory_zero(chunk_count, sizeof(uint32_t));
+    swarm->have = memory_calloc(swarm->words, sizeof(uint64_t));
+    swarm->open = memory_calloc(swarm->words, sizeof(uint64_t));
+    swarm->availability = memory_calloc(chunk_count, sizeof(uint16_t));
+    swarm->arrivals = memory_calloc(chunk_count, sizeof(uint32_t));
     for (uint32_t chunk = 0; chunk < chunk_count; chunk++)
         bitmap_set(swarm->open, chunk);
     return swarm;
--- a/src/core/swarm_duties.c
+++ b/src/core/swarm_duties.c
@@ -17,7 +17,7 @@
 {
     if (swarm->duty_count == *capacity) {
         *capacity = *capacity ? 2 * *capacity : 32;
-        swarm->duties = memory_resize(swarm->duties, *capacity * sizeof *swarm->duties);
+        swarm->duties = memory_realloc(swarm->duties, *capacity * sizeof *swarm->duties);
     }
     struct duty *duty = &swarm->duties[swarm->duty_count++];
     *duty = (struct duty){.chunk = chunk, .position = (uint8_t)position};
@@ -70,7 +70,8 @@
 {
     if (is_suspect(swarm, id))
         return;
-    swarm->suspects = memory_resize(swarm->suspects, (swarm->suspect_count + 1) * sizeof(uint64_t));
+    swarm->suspects =
+        memory_realloc(swarm->suspects, (swarm->suspect_count + 1) * sizeof(uint64_t));
     swarm->suspects[swarm->suspect_count++] = id;
 }
 
--- a/src/core/swarm_neighbours.c
+++ b/src/core/swarm_neighbours.c
@@ -29,7 +29,7 @@
         return NULL;
     struct neighbour *neighbour = &swarm->neighbours[swarm->neighbour_count++];
     *neighbour = (struct neighbour){.id = id, .chosen = chosen, .needs_full = true};
-    neighbour->have = memory_zero(swarm->words, sizeof(uint64_t));
+    neighbour->have = memory_calloc(swarm->words, sizeof(uint64_t));
     neighbour->zone = swarm->plan->members[index].zone;
     neighbour->region = swarm->plan->members[index].region;
     neighbour->last_heard = now;
--- a/src/core/swarm_plan.c
+++ b/src/core/swarm_plan.c
@@ -43,12 +43,12 @@
 struct swarm_plan *swarm_plan_create(uint64_t rollout, uint32_t chunk_count,
                                      const struct member *members, uint32_t member_count)
 {
-    struct swarm_plan *plan = memory_zero(1, sizeof *plan);
+    struct swarm_plan *plan = memory_calloc(1, sizeof *plan);
     plan->rollout = rollout;
     plan->chunk_count = chunk_count;
     plan->member_count = member_count;
     plan->references = 1;
-    plan->members = memory_copy(members, member_count * sizeof *members);
+    plan->members = memory_duplicate(members, member_count * sizeof *members);
     for (uint32_t i = 0; i < member_count; i++) {
         assert(i == 0 || members[i - 1].id < members[i].id);
         assert(members[i].region < SWARM_MAX_REGIONS);
@@ -57,8 +57,8 @@
     }
     size_t global_size = (size_t)chunk_count * SWARM_GLOBAL_RANKS;
     size_t region_size = (size_t)chunk_count * plan->region_count * SWARM_REGION_RANKS;
-    plan->global_ranks = memory_zero(global_size, sizeof(uint32_t));
-    plan->region_ranks = memory_zero(region_size, sizeof(uint32_t));
+    plan->global_ranks = memory_calloc(global_size, sizeof(uint32_t));
+    plan->region_ranks = memory_calloc(region_size, sizeof(uint32_t));
     memset(plan->global_ranks, 0xff, global_size * sizeof(uint32_t));
     memset(plan->region_ranks, 0xff, region_size * sizeof(uint32_t));
     for (uint32_t chunk = 0; chunk < chunk_count; chunk++)
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -221,7 +221,7 @@
 
 static struct crash_check *begin_check(struct edge *edge, struct backend *backend)
 {
-    struct crash_check *check = memory_zero(1, sizeof *check);
+    struct crash_check *check = memory_calloc(1, sizeof *check);
     check->edge = edge;
     check->backend = backend_retain(backend);
     check->start = crash_incarnation_key(backend->listing.id, backend->listing.born);
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -195,7 +195,8 @@
 static struct http_service *open_service(struct edge *edge, const char *text,
                                          service_handler *handler)
 {
-    static const struct http_service_limits limits = {SERVICE_BODY_LIMIT, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {SERVICE_BODY_LIMIT,
+                                                      HTTP_SERVICE_IDLE_TIMEOUT_MS};
     struct sockaddr_in address;
     if (!tcp_address_parse(text, &address)) {
         log_event(LOG_LEVEL_ERROR, "edge", "bad-address", "address=%s", text);
@@ -275,7 +276,7 @@
 
 int edge_main(int argc, char **argv)
 {
-    struct edge *edge = memory_zero(1, sizeof *edge);
+    struct edge *edge = memory_calloc(1, sizeof *edge);
     struct settings settings;
     int result = process_open(&edge->process, SETTING_ROLE_EDGE, argc, argv, &settings);
     if (result == 0)
--- a/src/edge/edge_client.c
+++ b/src/edge/edge_client.c
@@ -43,7 +43,7 @@
 
 size_t edge_client_unsent_bytes(const struct edge_client *client)
 {
-    return client->stream ? tcp_stream_pending(client->stream) : 0;
+    return client->stream ? tcp_stream_unsent_bytes(client->stream) : 0;
 }
 
 static void set_limits(struct edge_client *client)
@@ -97,7 +97,7 @@
     char expect[32];
     if (client->continue_sent || !client->request.head_complete || client->request.complete)
         return;
-    if (!http_message_value(&client->request, "Expect", expect, sizeof expect))
+    if (!http_message_field_value(&client->request, "Expect", expect, sizeof expect))
         return;
     client->continue_sent = true;
     tcp_stream_write(client->stream, "HTTP/1.1 100 Continue\r\n\r\n", 25);
@@ -107,7 +107,7 @@
 {
     size_t used;
     enum http_parse_result result =
-        http_message_feed(&client->request, client->unread.data, client->unread.size, &used);
+        http_message_parse(&client->request, client->unread.data, client->unread.size, &used);
     buffer_consume(&client->unread, used);
     switch (result) {
     case HTTP_PARSE_MORE:
@@ -122,10 +122,10 @@
     case HTTP_PARSE_MALFORMED:
         reject_request(client, 400);
         break;
-    case HTTP_PARSE_HEAD_SIZE:
+    case HTTP_PARSE_HEAD_TOO_LARGE:
         reject_request(client, 431);
         break;
-    case HTTP_PARSE_BODY_SIZE:
+    case HTTP_PARSE_BODY_TOO_LARGE:
         reject_request(client, 413);
         break;
     }
@@ -176,7 +176,7 @@
         log_event(LOG_LEVEL_WARN, "client", "accept-failed", "error=\"%s\"", uv_strerror(status));
         return;
     }
-    struct edge_client *client = memory_zero(1, sizeof *client);
+    struct edge_client *client = memory_calloc(1, sizeof *client);
     client->edge = edge;
     client->next = edge->clients;
     client->link = &edge->clients;
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -240,7 +240,7 @@
                                         const struct request_head *head, const struct route *route,
                                         uint32_t tenant)
 {
-    struct exchange *exchange = memory_zero(1, sizeof *exchange);
+    struct exchange *exchange = memory_calloc(1, sizeof *exchange);
     uint32_t service = route_choose_service(route, random_next(&edge->random));
     exchange->edge = edge;
     exchange->client = client;
--- a/src/edge/upstream.c
+++ b/src/edge/upstream.c
@@ -40,7 +40,7 @@
 static struct upstream_list *connections_of(struct backend *backend)
 {
     if (!backend->connections)
-        backend->connections = memory_zero(1, sizeof(struct upstream_list));
+        backend->connections = memory_calloc(1, sizeof(struct upstream_list));
     return backend->connections;
 }
 
@@ -147,7 +147,7 @@
 {
     const struct http_message *message = &upstream->response.message;
     if (!message->keep_alive || !message->framed || bytes_left ||
-        tcp_stream_pending(upstream->stream) || !upstream->backend->listed)
+        tcp_stream_unsent_bytes(upstream->stream) || !upstream->backend->listed)
         return false;
     uint32_t keep_ms = upstream->response.head.keep_alive_ms;
     uint64_t keep = keep_ms ? keep_ms * 1000ULL : KEEP_ALIVE_DEFAULT_US;
@@ -175,7 +175,7 @@
     while (size) {
         size_t consumed;
         enum http_parse_result result =
-            http_message_feed(&upstream->response.message, bytes, size, &consumed);
+            http_message_parse(&upstream->response.message, bytes, size, &consumed);
         bytes += consumed;
         size -= consumed;
         read_head(upstream);
@@ -204,7 +204,7 @@
         return;
     }
     bool is_complete = end == TCP_END_ORDERLY &&
-                       http_message_end(&upstream->response.message) == HTTP_PARSE_DONE &&
+                       http_message_end_of_input(&upstream->response.message) == HTTP_PARSE_DONE &&
                        is_expected_response(upstream);
     finish_request(upstream, is_complete ? UPSTREAM_DONE : UPSTREAM_BROKEN, false);
 }
@@ -251,7 +251,7 @@
     struct sockaddr_in address;
     if (!tcp_address_parse(backend->listing.address, &address))
         return NULL;
-    struct upstream *upstream = memory_zero(1, sizeof *upstream);
+    struct upstream *upstream = memory_calloc(1, sizeof *upstream);
     upstream->edge = edge;
     upstream->backend = backend_retain(backend);
     upstream->state = UPSTREAM_CONNECTING;
--- a/src/gateway/caller.c
+++ b/src/gateway/caller.c
@@ -147,7 +147,7 @@
     pthread_mutex_lock(&front->lock);
     bool detached = front->detached;
     if (!detached) {
-        http_keep(exchange);
+        http_exchange_retain(exchange);
         gateway_traffic_submit(front->traffic, exchange, &entry);
     }
     pthread_mutex_unlock(&front->lock);
@@ -200,7 +200,7 @@
         status_fail(STATUS_INVALID, "%s: %s", path, strerror(errno));
         return NULL;
     }
-    char *text = memory_zero(MAX_PEM + 1, 1);
+    char *text = memory_calloc(MAX_PEM + 1, 1);
     size_t size = fread(text, 1, MAX_PEM, stream);
     text[size] = 0;
     fclose(stream);
@@ -224,7 +224,7 @@
 struct caller_front *caller_front_start(const struct settings *settings, struct status_page *page,
                                         struct gateway_traffic *traffic)
 {
-    struct caller_front *front = memory_zero(1, sizeof *front);
+    struct caller_front *front = memory_calloc(1, sizeof *front);
     struct http_server_settings http = {
         .address = settings->address,
         .port = (uint16_t)settings->http_port,
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -40,7 +40,7 @@
     uint32_t count;
     uint64_t *ids = routing_view_links(gateway->shell.node, AGENT_SUBSET, &count);
     uint32_t gateways = 0;
-    ids = memory_resize(ids, (count + GATEWAY_LINKS) * sizeof *ids);
+    ids = memory_realloc(ids, (count + GATEWAY_LINKS) * sizeof *ids);
     for (uint32_t i = 0; i < fleet->count && gateways < GATEWAY_LINKS; i++) {
         const struct machine *machine = &fleet->machines[i];
         if (machine->role != MACHINE_GATEWAY || machine->id == node_id(gateway->shell.node))
@@ -122,7 +122,7 @@
 
 static void publish(struct gateway *gateway, uint64_t now)
 {
-    json_t *status = daemon_describe(&gateway->shell, "gateway", &gateway->drain);
+    json_t *status = daemon_status_json(&gateway->shell, "gateway", &gateway->drain);
     json_object_set_new(status, "active_requests",
                         json_integer(gateway_traffic_active(gateway->traffic)));
     status_page_publish(gateway->page, status, why_not_ready(gateway), now);
@@ -188,9 +188,9 @@
 
 int gateway_main(int argc, char **argv)
 {
-    struct gateway *gateway = memory_zero(1, sizeof *gateway);
+    struct gateway *gateway = memory_calloc(1, sizeof *gateway);
     int exit_status =
-        daemon_settings(SETTING_ROLE_GATEWAY, argc, argv, &gateway->settings, &gateway->keys);
+        daemon_init(SETTING_ROLE_GATEWAY, argc, argv, &gateway->settings, &gateway->keys);
     if (exit_status == 0) {
         /* Callers may keep an old address answer until its max-age is over. */
         daemon_drain_init(&gateway->drain, gateway->settings.drain_timeout_ms,
--- a/src/gateway/gateway_traffic.c
+++ b/src/gateway/gateway_traffic.c
@@ -59,7 +59,7 @@
     while (*link != call)
         link = &(*link)->next;
     *link = call->next;
-    http_release(call->exchange);
+    http_exchange_release(call->exchange);
     free(call);
 }
 
@@ -93,7 +93,7 @@
         return;
     /* Gone or too slow: the stream breaks, and the engine is told. */
     call->closed = true;
-    http_stream_break(call->exchange);
+    http_stream_abort(call->exchange);
 }
 
 static void begin(void *context, uint64_t number, const struct ready_model *model)
@@ -205,12 +205,12 @@
 {
     struct submission *submission = argument;
     struct gateway_traffic *traffic = submission->traffic;
-    struct call *call = memory_zero(1, sizeof *call);
+    struct call *call = memory_calloc(1, sizeof *call);
     call->number = traffic->next_call++;
     call->exchange = submission->exchange;
     call->next = traffic->calls;
     traffic->calls = call;
-    http_set_tag(call->exchange, call->number);
+    http_exchange_set_tag(call->exchange, call->number);
     router_submit(traffic->router, clock_monotonic_us(), call->number, &submission->request);
     free((char *)submission->request.service);
     free((char *)submission->request.tenant);
@@ -222,14 +222,14 @@
 void gateway_traffic_submit(struct gateway_traffic *traffic, struct http_exchange *exchange,
                             const struct router_request *request)
 {
-    struct submission *submission = memory_zero(1, sizeof *submission);
+    struct submission *submission = memory_calloc(1, sizeof *submission);
     submission->traffic = traffic;
     submission->exchange = exchange;
     submission->request = *request;
-    submission->request.service = memory_string(request->service);
-    submission->request.tenant = memory_string(request->tenant);
-    submission->request.key = memory_string(request->key);
-    submission->request.body = memory_copy(request->body, request->body_size);
+    submission->request.service = memory_strdup(request->service);
+    submission->request.tenant = memory_strdup(request->tenant);
+    submission->request.key = memory_strdup(request->key);
+    submission->request.body = memory_duplicate(request->body, request->body_size);
     loop_post(traffic->loop, submit, submission);
 }
 
@@ -237,7 +237,7 @@
 {
     struct submission *submission = argument;
     struct gateway_traffic *traffic = submission->traffic;
-    struct call *call = find_call(traffic, http_tag(submission->exchange));
+    struct call *call = find_call(traffic, http_exchange_tag(submission->exchange));
     free(submission);
     if (!call)
         return;
@@ -249,7 +249,7 @@
 
 void gateway_traffic_closed(struct gateway_traffic *traffic, struct http_exchange *exchange)
 {
-    struct submission *submission = memory_zero(1, sizeof *submission);
+    struct submission *submission = memory_calloc(1, sizeof *submission);
     submission->traffic = traffic;
     submission->exchange = exchange;
     loop_post(traffic->loop, close_call, submission);
@@ -265,13 +265,13 @@
     struct view_change *change = argument;
     struct gateway_traffic *traffic = change->traffic;
     struct routing_view *old = traffic->view;
-    uint64_t *ids = memory_zero(change->view->agent_count, sizeof *ids);
+    uint64_t *ids = memory_calloc(change->view->agent_count, sizeof *ids);
     traffic->view = change->view;
     for (uint32_t i = 0; i < change->view->agent_count; i++) {
         ids[i] = change->view->agents[i].id;
         links_connect(traffic->links, &change->view->agents[i].machine);
     }
-    links_keep(traffic->links, ids, change->view->agent_count);
+    links_close_unlisted(traffic->links, ids, change->view->agent_count);
     router_set_view(traffic->router, clock_monotonic_us(), change->view);
     routing_view_destroy(old);
     free(ids);
@@ -280,7 +280,7 @@
 
 void gateway_traffic_set_view(struct gateway_traffic *traffic, struct routing_view *view)
 {
-    struct view_change *change = memory_zero(1, sizeof *change);
+    struct view_change *change = memory_calloc(1, sizeof *change);
     *change = (struct view_change){traffic, view};
     loop_post(traffic->loop, apply_view, change);
 }
@@ -299,7 +299,7 @@
 
 void gateway_traffic_set_keys(struct gateway_traffic *traffic, const struct key_ring *keys)
 {
-    struct key_change *change = memory_zero(1, sizeof *change);
+    struct key_change *change = memory_calloc(1, sizeof *change);
     *change = (struct key_change){traffic, *keys};
     loop_post(traffic->loop, apply_keys, change);
 }
@@ -343,8 +343,8 @@
     publish_counters(traffic);
     if (now >= traffic->next_series) {
         traffic->next_series = now + SERIES_US;
-        status_page_set_series(traffic->page,
-                               service_counts_format(router_service_counts(traffic->router)));
+        status_page_set_extra_metrics(
+            traffic->page, service_counts_format(router_service_counts(traffic->router)));
     }
     uint32_t calls = 0;
     for (const struct call *call = traffic->calls; call; call = call->next)
@@ -363,7 +363,7 @@
                                               const struct node_shell *shell,
                                               struct status_page *page)
 {
-    struct gateway_traffic *traffic = memory_zero(1, sizeof *traffic);
+    struct gateway_traffic *traffic = memory_calloc(1, sizeof *traffic);
     struct router_driver driver = {traffic, forward, cancel, begin, data, end};
     struct router_settings router_settings = {
         .request_limit = (uint32_t)settings->tenant_queue_limit,
@@ -389,10 +389,10 @@
         return;
     loop_stop(traffic->loop);
     pthread_join(traffic->thread, NULL);
-    loop_drain(traffic->loop);
+    loop_run_posted(traffic->loop);
     router_destroy(traffic->router);
     while (traffic->calls) {
-        http_stream_break(traffic->calls->exchange);
+        http_stream_abort(traffic->calls->exchange);
         remove_call(traffic, traffic->calls);
     }
     links_destroy(traffic->links);
--- a/src/loader/installer.c
+++ b/src/loader/installer.c
@@ -48,7 +48,7 @@
 struct installer *installer_create(uv_loop_t *loop, const struct sockaddr_in *engine,
                                    const char *model)
 {
-    struct installer *installer = memory_zero(1, sizeof *installer);
+    struct installer *installer = memory_calloc(1, sizeof *installer);
     installer->loop = loop;
     installer->stage_caller = http_caller_create(loop, engine);
     installer->order_caller = http_caller_create(loop, engine);
@@ -58,12 +58,12 @@
 }
 
 /* Outcome of a call; without an answer, the engine may have handled it or not. */
-static enum install_result install_result_from_call(enum call_result result,
+static enum install_result install_result_from_call(enum http_call_result result,
                                                     const struct http_message *message)
 {
-    if (result == CALL_NOT_REACHED)
+    if (result == CALL_CONNECT_FAILED)
         return INSTALL_UNSENT;
-    if (result != CALL_ANSWERED)
+    if (result != CALL_COMPLETE)
         return INSTALL_NO_ANSWER;
     return http_message_status(message) < 300 ? INSTALL_DONE : INSTALL_REFUSED;
 }
@@ -78,9 +78,9 @@
     return names[result];
 }
 
-static unsigned answered_status(enum call_result result, const struct http_message *message)
+static unsigned answered_status(enum http_call_result result, const struct http_message *message)
 {
-    return result == CALL_ANSWERED ? http_message_status(message) : 0;
+    return result == CALL_COMPLETE ? http_message_status(message) : 0;
 }
 
 /* --- version being installed ------------------------------------------------------------------ */
@@ -108,7 +108,7 @@
     const struct piece_manifest *manifest = piece_store_manifest(installer->store);
     if (installer->pieces || !manifest)
         return;
-    installer->pieces = memory_zero(manifest->count, sizeof *installer->pieces);
+    installer->pieces = memory_calloc(manifest->count, sizeof *installer->pieces);
     if (!weight_install_change(&installer->install, piece_store_version(installer->store),
                                installer->pieces, manifest->count, now)) {
         free(installer->pieces);
@@ -133,7 +133,7 @@
 /* --- staging area ----------------------------------------------------------------------------- */
 
 static void send_stage(struct installer *installer, const char *method, uint32_t piece,
-                       const void *body, size_t size, call_done *done)
+                       const void *body, size_t size, http_call_done *done)
 {
     struct buffer target = {0};
     if (strcmp(method, "PUT") == 0)
@@ -141,14 +141,14 @@
     else
         platform_write_stage_get_target(installer->model, piece, &target);
     buffer_append(&target, "", 1);
-    struct caller_request request = {.method = method,
-                                     .target = target.data,
-                                     .body = body,
-                                     .body_size = size,
-                                     .timeout_ms = STAGE_TIMEOUT_MS,
-                                     .body_limit = ANSWER_BODY_LIMIT_BYTES,
-                                     .done = done,
-                                     .context = installer};
+    struct http_caller_request request = {.method = method,
+                                          .target = target.data,
+                                          .body = body,
+                                          .body_size = size,
+                                          .timeout_ms = STAGE_TIMEOUT_MS,
+                                          .body_limit = ANSWER_BODY_LIMIT_BYTES,
+                                          .done = done,
+                                          .context = installer};
     http_caller_send(installer->stage_caller, &request);
     buffer_clear(&target);
 }
@@ -172,7 +172,7 @@
         run_next_action(installer, now);
 }
 
-static void on_put(void *context, enum call_result result, const struct http_message *message)
+static void on_put(void *context, enum http_call_result result, const struct http_message *message)
 {
     complete_stage_call(context, install_result_from_call(result, message),
                         answered_status(result, message));
@@ -191,11 +191,11 @@
     return right ? INSTALL_DONE : INSTALL_REFUSED;
 }
 
-static void on_get(void *context, enum call_result result, const struct http_message *message)
+static void on_get(void *context, enum http_call_result result, const struct http_message *message)
 {
     struct installer *installer = context;
     enum install_result outcome = install_result_from_call(result, message);
-    if (result == CALL_ANSWERED)
+    if (result == CALL_COMPLETE)
         outcome = compare_piece(installer, installer->install.stage_call_piece, message);
     complete_stage_call(installer, outcome, answered_status(result, message));
 }
@@ -204,19 +204,19 @@
 
 static void read_next_recovery_piece(struct installer *installer);
 
-static void on_recovery_read(void *context, enum call_result result,
+static void on_recovery_read(void *context, enum http_call_result result,
                              const struct http_message *message)
 {
     struct installer *installer = context;
     uint32_t piece = installer->recovery_piece;
     if (!installer->recovery_store)
         return;
-    bool there = result == CALL_ANSWERED && http_message_status(message) == 200;
+    bool there = result == CALL_COMPLETE && http_message_status(message) == 200;
     if (there &&
         piece_store_add(installer->recovery_store, piece, message->body.data, message->body.size))
         installer->recovered_count++;
     installer->recovery_piece = piece + 1;
-    if (result == CALL_ANSWERED)
+    if (result == CALL_COMPLETE)
         read_next_recovery_piece(installer);
     else
         installer->recovery_store = NULL;
@@ -259,7 +259,8 @@
 
 /* --- load order ------------------------------------------------------------------------------- */
 
-static void on_order(void *context, enum call_result result, const struct http_message *message)
+static void on_order(void *context, enum http_call_result result,
+                     const struct http_message *message)
 {
     struct installer *installer = context;
     enum install_result outcome = install_result_from_call(result, message);
@@ -283,15 +284,15 @@
               (now - weight_install_verified_at(install)) / 1000,
               now < install->in_doubt_order_until, install->engine.requests);
     metric_add(METRIC_ENGINE_LOADS, 1);
-    struct caller_request request = {.method = "POST",
-                                     .target = platform_order_target(),
-                                     .headers = "Content-Type: application/json\r\n",
-                                     .body = body.data,
-                                     .body_size = body.size,
-                                     .timeout_ms = ORDER_TIMEOUT_MS,
-                                     .body_limit = ANSWER_BODY_LIMIT_BYTES,
-                                     .done = on_order,
-                                     .context = installer};
+    struct http_caller_request request = {.method = "POST",
+                                          .target = platform_order_target(),
+                                          .headers = "Content-Type: application/json\r\n",
+                                          .body = body.data,
+                                          .body_size = body.size,
+                                          .timeout_ms = ORDER_TIMEOUT_MS,
+                                          .body_limit = ANSWER_BODY_LIMIT_BYTES,
+                                          .done = on_order,
+                                          .context = installer};
     http_caller_send(installer->order_caller, &request);
     buffer_clear(&body);
 }
--- a/src/loader/loader.c
+++ b/src/loader/loader.c
@@ -176,13 +176,14 @@
                   loader->report.load.running);
 }
 
-static void on_report(void *context, enum call_result result, const struct http_message *message)
+static void on_report(void *context, enum http_call_result result,
+                      const struct http_message *message)
 {
     struct loader *loader = context;
     struct engine_report report;
     uint64_t now = cluster_now();
     loader->report_pending = false;
-    bool valid = result == CALL_ANSWERED && http_message_status(message) == 200 &&
+    bool valid = result == CALL_COMPLETE && http_message_status(message) == 200 &&
                  platform_read_report(message->body.data, message->body.size, loader->model,
                                       &report) == STATUS_OK;
     set_reachable(loader, valid);
@@ -210,12 +211,12 @@
 
 static void request_report(struct loader *loader)
 {
-    struct caller_request request = {.method = "GET",
-                                     .target = platform_report_target(),
-                                     .timeout_ms = REPORT_TIMEOUT_MS,
-                                     .body_limit = REPORT_BODY_LIMIT_BYTES,
-                                     .done = on_report,
-                                     .context = loader};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = platform_report_target(),
+                                          .timeout_ms = REPORT_TIMEOUT_MS,
+                                          .body_limit = REPORT_BODY_LIMIT_BYTES,
+                                          .done = on_report,
+                                          .context = loader};
     loader->report_pending = true;
     http_caller_send(loader->engine_caller, &request);
 }
@@ -396,7 +397,7 @@
     if (cluster_open(&loader->cluster, loop, settings, MEMBER_LOADER, &callbacks))
         return 1;
     loader->engine_caller = http_caller_create(loop, &loader->engine_address);
-    http_caller_on_lost(loader->engine_caller, on_engine_connection_lost, loader);
+    http_caller_set_on_disconnect(loader->engine_caller, on_engine_connection_lost, loader);
     uv_timer_init(loop, &loader->timer);
     loader->timer.data = loader;
     uv_timer_start(&loader->timer, on_tick, 1, 0);
@@ -407,7 +408,7 @@
 
 int loader_main(int argc, char **argv)
 {
-    struct loader *loader = memory_zero(1, sizeof *loader);
+    struct loader *loader = memory_calloc(1, sizeof *loader);
     struct settings settings;
     int result = process_open(&loader->process, SETTING_ROLE_LOADER, argc, argv, &settings);
     if (result == 0)
--- a/src/loader/piece_store.c
+++ b/src/loader/piece_store.c
@@ -42,7 +42,7 @@
                                        const struct sockaddr_in *origin, uint64_t version,
                                        const struct piece_store_callbacks *callbacks)
 {
-    struct piece_store *store = memory_zero(1, sizeof *store);
+    struct piece_store *store = memory_calloc(1, sizeof *store);
     struct piece_fetch_callbacks fetch_callbacks = {store, on_manifest_known, on_piece_held};
     double link = strtod(cluster->settings->link_mbit, NULL);
     store->callbacks = *callbacks;
--- a/src/net/authenticator.c
+++ b/src/net/authenticator.c
@@ -37,7 +37,7 @@
     unsigned count;
 };
 
-static bool take_request(void *socket, struct zap_request *request)
+static bool receive_request(void *socket, struct zap_request *request)
 {
     int more = 1;
     size_t size = sizeof more;
@@ -55,7 +55,8 @@
     return request->count > ZAP_FRAME_MECHANISM;
 }
 
-static bool is_known(const struct authenticator *authenticator, const struct zap_request *request)
+static bool is_authorized(const struct authenticator *authenticator,
+                          const struct zap_request *request)
 {
     char key[KEY_TEXT_SIZE];
     bool curve = strcmp(request->frames[ZAP_FRAME_MECHANISM], "CURVE") == 0 &&
@@ -63,7 +64,7 @@
     if (!curve)
         return false;
     zmq_z85_encode(key, (const uint8_t *)request->frames[ZAP_FRAME_KEY], CURVE_KEY_BYTES);
-    return key_ring_knows(&authenticator->keys, key);
+    return key_ring_contains(&authenticator->keys, key);
 }
 
 static void send_frame(void *socket, const void *bytes, size_t size, bool more)
@@ -71,10 +72,10 @@
     zmq_send(socket, bytes, size, ZMQ_DONTWAIT | (more ? ZMQ_SNDMORE : 0));
 }
 
-static void answer(void *socket, const struct zap_request *request, bool known)
+static void send_zap_reply(void *socket, const struct zap_request *request, bool authorized)
 {
-    const char *code = known ? "200" : "400";
-    const char *text = known ? "OK" : "unknown key";
+    const char *code = authorized ? "200" : "400";
+    const char *text = authorized ? "OK" : "unknown key";
     send_frame(socket, ZAP_VERSION, strlen(ZAP_VERSION), true);
     send_frame(socket, request->frames[ZAP_FRAME_ID], request->sizes[ZAP_FRAME_ID], true);
     send_frame(socket, code, strlen(code), true);
@@ -88,20 +89,20 @@
     struct authenticator *authenticator = context;
     struct zap_request request;
     while (link_socket_readable(authenticator->socket) &&
-           take_request(authenticator->socket, &request)) {
-        bool known = is_known(authenticator, &request);
-        if (!known) {
+           receive_request(authenticator->socket, &request)) {
+        bool authorized = is_authorized(authenticator, &request);
+        if (!authorized) {
             metric_add(METRIC_LINKS_REJECTED, 1);
             log_event(LOG_LEVEL_WARN, "links", "link_rejected", "address=%s",
                       request.frames[ZAP_FRAME_ADDRESS]);
         }
-        answer(authenticator->socket, &request, known);
+        send_zap_reply(authenticator->socket, &request, authorized);
     }
 }
 
 struct authenticator *authenticator_open(void *zmq, struct loop *loop, const struct key_ring *keys)
 {
-    struct authenticator *authenticator = memory_zero(1, sizeof *authenticator);
+    struct authenticator *authenticator = memory_calloc(1, sizeof *authenticator);
     authenticator->loop = loop;
     authenticator->keys = *keys;
     authenticator->socket = zmq_socket(zmq, ZMQ_REP);
--- a/src/net/daemon.c
+++ b/src/net/daemon.c
@@ -7,16 +7,17 @@
 #include <signal.h>
 #include <stdio.h>
 
-#define MIN_DRAIN_US (500 * MICROSECONDS_PER_MILLISECOND) /* for the news to reach gateways */
+/* Time for the draining state to reach the gateways. */
+#define MIN_DRAIN_WAIT_US (500 * MICROSECONDS_PER_MILLISECOND)
 
-static volatile sig_atomic_t stop_asked;
+static volatile sig_atomic_t stop_requested;
 
 static void on_stop_signal(int number)
 {
-    stop_asked = 1;
+    stop_requested = 1;
 }
 
-static void set_signals(void)
+static void install_signal_handlers(void)
 {
     struct sigaction stop = {.sa_handler = on_stop_signal, .sa_flags = SA_RESTART};
     struct sigaction ignore = {.sa_handler = SIG_IGN};
@@ -25,8 +26,8 @@
     sigaction(SIGPIPE, &ignore, NULL);
 }
 
-int daemon_settings(enum setting_role role, int argc, char **argv, struct settings *settings,
-                    struct key_ring *keys)
+int daemon_init(enum setting_role role, int argc, char **argv, struct settings *settings,
+                struct key_ring *keys)
 {
     struct findings findings = {0};
     enum status status = settings_read(role, argc, argv, settings, &findings);
@@ -40,18 +41,18 @@
         return 2;
     log_init(settings->name, log_level_from_name(settings->log_level));
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    set_signals();
+    install_signal_handlers();
     return 0;
 }
 
-void daemon_drain_init(struct daemon_drain *drain, uint64_t timeout_ms, uint64_t linger_ms)
+void daemon_drain_init(struct daemon_drain *drain, uint64_t timeout_ms, uint64_t min_wait_ms)
 {
     *drain = (struct daemon_drain){
         .timeout_us = timeout_ms * MICROSECONDS_PER_MILLISECOND,
-        .linger_us = linger_ms * MICROSECONDS_PER_MILLISECOND,
+        .min_wait_us = min_wait_ms * MICROSECONDS_PER_MILLISECOND,
     };
-    if (drain->linger_us < MIN_DRAIN_US)
-        drain->linger_us = MIN_DRAIN_US;
+    if (drain->min_wait_us < MIN_DRAIN_WAIT_US)
+        drain->min_wait_us = MIN_DRAIN_WAIT_US;
 }
 
 void daemon_set_listed_leaving(struct daemon_drain *drain, bool leaving)
@@ -61,25 +62,25 @@
 
 bool daemon_is_draining(const struct daemon_drain *drain)
 {
-    return drain->listed_leaving || stop_asked;
+    return drain->listed_leaving || stop_requested;
 }
 
 bool daemon_drain_done(struct daemon_drain *drain, uint32_t active, uint64_t now)
 {
-    if (!stop_asked)
+    if (!stop_requested)
         return false;
-    if (!drain->started) {
-        drain->started = now;
+    if (!drain->started_us) {
+        drain->started_us = now;
         log_event(LOG_LEVEL_INFO, "daemon", "draining", "active=%u", active);
     }
-    uint64_t waited = now - drain->started;
-    if (waited < drain->linger_us)
+    uint64_t elapsed_us = now - drain->started_us;
+    if (elapsed_us < drain->min_wait_us)
         return false;
-    return active == 0 || waited >= drain->linger_us + drain->timeout_us;
+    return active == 0 || elapsed_us >= drain->min_wait_us + drain->timeout_us;
 }
 
 /* Addresses of all machines that this node knows, so that a tool may start from any node. */
-static json_t *describe_machines(const struct fleet *fleet)
+static json_t *machines_json(const struct fleet *fleet)
 {
     json_t *list = json_array();
     for (uint32_t i = 0; i < fleet->count; i++) {
@@ -96,11 +97,11 @@
 
 void daemon_publish_machines(const struct node_shell *shell, struct status_page *page)
 {
-    status_page_set_machines(page, describe_machines(node_fleet(shell->node)));
+    status_page_set_machines(page, machines_json(node_fleet(shell->node)));
 }
 
-json_t *daemon_describe(const struct node_shell *shell, const char *role,
-                        const struct daemon_drain *drain)
+json_t *daemon_status_json(const struct node_shell *shell, const char *role,
+                           const struct daemon_drain *drain)
 {
     const struct fleet_config *config = node_config(shell->node);
     const struct settings *settings = shell->settings;
--- a/src/net/http_caller.c
+++ b/src/net/http_caller.c
@@ -9,7 +9,7 @@
 
 struct pending_call {
     struct pending_call *next;
-    call_done *done;
+    http_call_done *done;
     void *context;
     uint32_t timeout_ms;
     size_t body_limit;
@@ -20,30 +20,30 @@
     uv_loop_t *loop;
     struct sockaddr_in address;
     struct tcp_stream *stream;
-    bool up;
-    bool sent; /* the first pending call is on its way */
+    bool is_connected;
+    bool request_sent; /* the first pending call is on its way */
     bool destroyed;
-    uint32_t depth; /* nested callbacks; freed only at 0 */
+    uint32_t callback_depth; /* nested callbacks; freed only at 0 */
     struct http_message message;
     struct pending_call *first;
     struct pending_call **last;
-    uint32_t waiting;
-    uint64_t first_byte_at;      /* of the answer under way or the last one, 0: none yet */
-    uint64_t transfer_us;        /* of the last answer */
-    uint64_t idle_since;         /* time of the end of the last call */
-    void (*lost)(void *context); /* NULL: nobody asks */
-    void *lost_context;
+    uint32_t pending_count;
+    uint64_t first_byte_at;               /* of the answer under way or the last one, 0: none yet */
+    uint64_t transfer_us;                 /* of the last answer */
+    uint64_t idle_since;                  /* time of the end of the last call */
+    void (*on_disconnect)(void *context); /* NULL: nobody asks */
+    void *disconnect_context;
     uv_timer_t timer;
 };
 
 static void start_next(struct http_caller *caller);
 
-const char *call_result_name(enum call_result result)
+const char *http_call_result_name(enum http_call_result result)
 {
-    static const char *const names[] = {[CALL_ANSWERED] = "answered",
-                                        [CALL_NOT_REACHED] = "not reached",
+    static const char *const names[] = {[CALL_COMPLETE] = "answered",
+                                        [CALL_CONNECT_FAILED] = "not reached",
                                         [CALL_BROKEN] = "broken",
-                                        [CALL_SILENT] = "no answer"};
+                                        [CALL_TIMED_OUT] = "no answer"};
     return names[result];
 }
 
@@ -54,23 +54,23 @@
     free(caller);
 }
 
-static void drop_stream(struct http_caller *caller)
+static void drop_connection(struct http_caller *caller)
 {
-    if (caller->stream && caller->sent) /* what was given up must not arrive any more */
+    if (caller->stream && caller->request_sent) /* what was given up must not arrive any more */
         tcp_stream_reset(caller->stream);
     else if (caller->stream)
         tcp_stream_close(caller->stream);
     caller->stream = NULL;
-    caller->up = false;
+    caller->is_connected = false;
 }
 
-static void release(struct http_caller *caller)
+static void free_if_destroyed(struct http_caller *caller)
 {
-    if (caller->destroyed && !caller->depth)
+    if (caller->destroyed && !caller->callback_depth)
         uv_close((uv_handle_t *)&caller->timer, on_timer_closed);
 }
 
-static void finish_first(struct http_caller *caller, enum call_result result)
+static void finish_first(struct http_caller *caller, enum http_call_result result)
 {
     struct pending_call *call = caller->first;
     if (!call)
@@ -79,24 +79,24 @@
     caller->first = call->next;
     if (!caller->first)
         caller->last = &caller->first;
-    caller->waiting--;
-    caller->sent = false;
+    caller->pending_count--;
+    caller->request_sent = false;
     caller->idle_since = clock_monotonic_us();
-    caller->depth++;
-    call->done(call->context, result, result == CALL_ANSWERED ? &caller->message : NULL);
-    caller->depth--;
+    caller->callback_depth++;
+    call->done(call->context, result, result == CALL_COMPLETE ? &caller->message : NULL);
+    caller->callback_depth--;
     buffer_clear(&call->bytes);
     free(call);
 }
 
-static void fail_first(struct http_caller *caller, enum call_result result)
+static void fail_first(struct http_caller *caller, enum http_call_result result)
 {
-    caller->depth++;
-    drop_stream(caller);
+    caller->callback_depth++;
+    drop_connection(caller);
     finish_first(caller, result);
-    caller->depth--;
+    caller->callback_depth--;
     if (caller->destroyed)
-        release(caller);
+        free_if_destroyed(caller);
     else
         start_next(caller);
 }
@@ -104,30 +104,30 @@
 static void on_timeout(uv_timer_t *timer)
 {
     struct http_caller *caller = timer->data;
-    fail_first(caller, caller->up ? CALL_SILENT : CALL_NOT_REACHED);
+    fail_first(caller, caller->is_connected ? CALL_TIMED_OUT : CALL_CONNECT_FAILED);
 }
 
 static void on_connected(void *context, bool success)
 {
     struct http_caller *caller = context;
     if (!success) {
-        fail_first(caller, CALL_NOT_REACHED);
+        fail_first(caller, CALL_CONNECT_FAILED);
         return;
     }
-    caller->up = true;
+    caller->is_connected = true;
     start_next(caller);
 }
 
-static void finish_answer(struct http_caller *caller, bool reusable)
+static void finish_response(struct http_caller *caller, bool reusable)
 {
-    caller->depth++;
-    caller->sent = false;
+    caller->callback_depth++;
+    caller->request_sent = false;
     if (!reusable)
-        drop_stream(caller);
-    finish_first(caller, CALL_ANSWERED);
-    caller->depth--;
+        drop_connection(caller);
+    finish_first(caller, CALL_COMPLETE);
+    caller->callback_depth--;
     if (caller->destroyed)
-        release(caller);
+        free_if_destroyed(caller);
     else
         start_next(caller);
 }
@@ -135,20 +135,20 @@
 static void on_received(void *context, const char *bytes, size_t size)
 {
     struct http_caller *caller = context;
-    if (!caller->sent) { /* bytes that nobody asked for */
-        drop_stream(caller);
+    if (!caller->request_sent) { /* bytes that nobody asked for */
+        drop_connection(caller);
         return;
     }
     size_t used;
     uint64_t now = clock_monotonic_us();
     if (!caller->first_byte_at)
         caller->first_byte_at = now;
-    enum http_parse_result result = http_message_feed(&caller->message, bytes, size, &used);
+    enum http_parse_result result = http_message_parse(&caller->message, bytes, size, &used);
     if (result == HTTP_PARSE_MORE)
         return;
     caller->transfer_us = now - caller->first_byte_at;
     if (result == HTTP_PARSE_DONE)
-        finish_answer(caller, caller->message.keep_alive && used == size);
+        finish_response(caller, caller->message.keep_alive && used == size);
     else
         fail_first(caller, CALL_BROKEN);
 }
@@ -156,14 +156,14 @@
 static void on_ended(void *context, enum tcp_end end)
 {
     struct http_caller *caller = context;
-    if (!caller->sent) {
-        drop_stream(caller);
-        if (caller->lost)
-            caller->lost(caller->lost_context);
+    if (!caller->request_sent) {
+        drop_connection(caller);
+        if (caller->on_disconnect)
+            caller->on_disconnect(caller->disconnect_context);
         return;
     }
-    if (end == TCP_END_ORDERLY && http_message_end(&caller->message) == HTTP_PARSE_DONE)
-        finish_answer(caller, false);
+    if (end == TCP_END_ORDERLY && http_message_end_of_input(&caller->message) == HTTP_PARSE_DONE)
+        finish_response(caller, false);
     else
         fail_first(caller, CALL_BROKEN);
 }
@@ -175,18 +175,18 @@
 {
     struct pending_call *call = caller->first;
     /* Not from within a callback: it still reads the last answer. */
-    if (!call || caller->sent || caller->destroyed || caller->depth)
+    if (!call || caller->request_sent || caller->destroyed || caller->callback_depth)
         return;
     if (!caller->stream) {
-        caller->up = false;
+        caller->is_connected = false;
         uv_timer_start(&caller->timer, on_timeout, call->timeout_ms, 0);
         caller->stream =
             tcp_stream_connect(caller->loop, &caller->address, &stream_callbacks, caller);
         return;
     }
-    if (!caller->up)
+    if (!caller->is_connected)
         return;
-    caller->sent = true;
+    caller->request_sent = true;
     caller->first_byte_at = 0;
     caller->message.body_limit = call->body_limit;
     http_message_begin(&caller->message, HTTP_MESSAGE_RESPONSE);
@@ -196,7 +196,7 @@
 
 struct http_caller *http_caller_create(uv_loop_t *loop, const struct sockaddr_in *address)
 {
-    struct http_caller *caller = memory_zero(1, sizeof *caller);
+    struct http_caller *caller = memory_calloc(1, sizeof *caller);
     caller->loop = loop;
     caller->address = *address;
     caller->last = &caller->first;
@@ -208,7 +208,7 @@
 void http_caller_destroy(struct http_caller *caller)
 {
     caller->destroyed = true;
-    drop_stream(caller);
+    drop_connection(caller);
     uv_timer_stop(&caller->timer);
     while (caller->first) {
         struct pending_call *call = caller->first;
@@ -216,12 +216,12 @@
         buffer_clear(&call->bytes);
         free(call);
     }
-    release(caller);
+    free_if_destroyed(caller);
 }
 
-void http_caller_send(struct http_caller *caller, const struct caller_request *request)
+void http_caller_send(struct http_caller *caller, const struct http_caller_request *request)
 {
-    struct pending_call *call = memory_zero(1, sizeof *call);
+    struct pending_call *call = memory_calloc(1, sizeof *call);
     char host[INET_ADDRSTRLEN];
     uv_ip4_name(&caller->address, host, sizeof host);
     call->done = request->done;
@@ -238,7 +238,7 @@
     buffer_append(&call->bytes, request->body, request->body_size);
     *caller->last = call;
     caller->last = &call->next;
-    caller->waiting++;
+    caller->pending_count++;
     start_next(caller);
 }
 
@@ -249,36 +249,37 @@
 
 bool http_caller_is_receiving(const struct http_caller *caller)
 {
-    return caller->sent && caller->first_byte_at;
+    return caller->request_sent && caller->first_byte_at;
 }
 
-void http_caller_rest(struct http_caller *caller, uint64_t idle_us)
+void http_caller_close_idle(struct http_caller *caller, uint64_t idle_us)
 {
-    if (!caller->first && !caller->depth && caller->stream &&
+    if (!caller->first && !caller->callback_depth && caller->stream &&
         clock_monotonic_us() > caller->idle_since + idle_us)
-        drop_stream(caller);
+        drop_connection(caller);
 }
 
-void http_caller_on_lost(struct http_caller *caller, void (*lost)(void *context), void *context)
+void http_caller_set_on_disconnect(struct http_caller *caller, void (*on_disconnect)(void *context),
+                                   void *context)
 {
-    caller->lost = lost;
-    caller->lost_context = context;
+    caller->on_disconnect = on_disconnect;
+    caller->disconnect_context = context;
 }
 
-uint32_t http_caller_waiting(const struct http_caller *caller)
+uint32_t http_caller_pending_count(const struct http_caller *caller)
 {
-    return caller->waiting;
+    return caller->pending_count;
 }
 
 void http_caller_abort(struct http_caller *caller)
 {
-    caller->depth++;
-    drop_stream(caller);
-    for (uint32_t rest = caller->waiting; rest && !caller->destroyed; rest--)
+    caller->callback_depth++;
+    drop_connection(caller);
+    for (uint32_t remaining = caller->pending_count; remaining && !caller->destroyed; remaining--)
         finish_first(caller, CALL_BROKEN);
-    caller->depth--;
+    caller->callback_depth--;
     if (caller->destroyed)
-        release(caller);
+        free_if_destroyed(caller);
     else
         start_next(caller); /* a callback may have sent another call */
 }
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -20,7 +20,7 @@
         return 0; /* a trailer */
     if (message->in_value || !message->field_count) {
         if (message->field_count == HTTP_MESSAGE_MAX_FIELDS) {
-            message->failure = HTTP_PARSE_HEAD_SIZE;
+            message->failure = HTTP_PARSE_HEAD_TOO_LARGE;
             return 1;
         }
         message->in_value = false;
@@ -58,7 +58,7 @@
          (parser->status_code == 204 || parser->status_code == 304 || parser->status_code < 200));
     if (message->body_limit && parser->content_length != ULLONG_MAX &&
         parser->content_length > message->body_limit) {
-        message->failure = HTTP_PARSE_BODY_SIZE;
+        message->failure = HTTP_PARSE_BODY_TOO_LARGE;
         return -1;
     }
     return 0;
@@ -69,7 +69,7 @@
     struct http_message *message = parser->data;
     message->body_bytes += size;
     if (message->body_limit && message->body_bytes > message->body_limit) {
-        message->failure = HTTP_PARSE_BODY_SIZE;
+        message->failure = HTTP_PARSE_BODY_TOO_LARGE;
         return 1;
     }
     buffer_append(&message->body, bytes, size);
@@ -120,23 +120,23 @@
     buffer_clear(&message->body);
 }
 
-static enum http_parse_result result_of(struct http_message *message)
+static enum http_parse_result parse_state(struct http_message *message)
 {
     if (message->failure != HTTP_PARSE_MORE)
         return message->failure;
     if (message->head_limit && message->head_bytes > message->head_limit)
-        return HTTP_PARSE_HEAD_SIZE;
+        return HTTP_PARSE_HEAD_TOO_LARGE;
     if (message->complete)
         return HTTP_PARSE_DONE;
     if (HTTP_PARSER_ERRNO(&message->parser) == HPE_HEADER_OVERFLOW)
-        return HTTP_PARSE_HEAD_SIZE;
+        return HTTP_PARSE_HEAD_TOO_LARGE;
     if (HTTP_PARSER_ERRNO(&message->parser) != HPE_OK || message->parser.upgrade)
         return HTTP_PARSE_MALFORMED;
     return HTTP_PARSE_MORE;
 }
 
-enum http_parse_result http_message_feed(struct http_message *message, const char *bytes,
-                                         size_t size, size_t *used)
+enum http_parse_result http_message_parse(struct http_message *message, const char *bytes,
+                                          size_t size, size_t *used)
 {
     *used = 0;
     if (message->complete)
@@ -146,17 +146,17 @@
     *used = http_parser_execute(&message->parser, &parser_settings, bytes, size);
     if (in_head)
         message->head_bytes += *used - (message->body_bytes - body_before);
-    return result_of(message);
+    return parse_state(message);
 }
 
-enum http_parse_result http_message_end(struct http_message *message)
+enum http_parse_result http_message_end_of_input(struct http_message *message)
 {
     if (message->complete)
         return HTTP_PARSE_DONE;
     if (!message->head_complete || message->framed)
         return HTTP_PARSE_MALFORMED;
     http_parser_execute(&message->parser, &parser_settings, "", 0);
-    return result_of(message);
+    return parse_state(message);
 }
 
 const char *http_message_method(const struct http_message *message)
@@ -169,26 +169,26 @@
     return message->parser.status_code;
 }
 
-bool http_message_is(const struct http_message *message, uint32_t index, const char *name)
+bool http_message_field_is(const struct http_message *message, uint32_t index, const char *name)
 {
     const struct http_field *field = &message->fields[index];
     return field->name_length == strlen(name) &&
            strncasecmp(message->text.data + field->name, name, field->name_length) == 0;
 }
 
-int http_message_find(const struct http_message *message, const char *name)
+int http_message_find_field(const struct http_message *message, const char *name)
 {
     for (uint32_t i = 0; i < message->field_count; i++)
-        if (http_message_is(message, i, name))
+        if (http_message_field_is(message, i, name))
             return (int)i;
     return -1;
 }
 
-bool http_message_value(const struct http_message *message, const char *name, char *value,
-                        size_t size)
+bool http_message_field_value(const struct http_message *message, const char *name, char *value,
+                              size_t size)
 {
     value[0] = 0;
-    int index = http_message_find(message, name);
+    int index = http_message_find_field(message, name);
     if (index < 0)
         return false;
     const struct http_field *field = &message->fields[index];
@@ -208,7 +208,7 @@
     return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
-static void unescape(const char *from, size_t length, char *to, size_t size)
+static void percent_decode(const char *from, size_t length, char *to, size_t size)
 {
     size_t used = 0;
     for (size_t i = 0; i < length && used + 1 < size; i++) {
@@ -227,18 +227,19 @@
 {
     value[0] = 0;
     const char *end = target + length;
-    const char *part = memchr(target, '?', length);
+    const char *parameter = memchr(target, '?', length);
     size_t name_length = strlen(name);
-    while (part && part < end) {
-        part++;
-        const char *next = memchr(part, '&', (size_t)(end - part));
-        size_t size_of_part = (size_t)((next ? next : end) - part);
-        if (size_of_part > name_length && memcmp(part, name, name_length) == 0 &&
-            part[name_length] == '=') {
-            unescape(part + name_length + 1, size_of_part - name_length - 1, value, size);
+    while (parameter && parameter < end) {
+        parameter++;
+        const char *next = memchr(parameter, '&', (size_t)(end - parameter));
+        size_t parameter_length = (size_t)((next ? next : end) - parameter);
+        if (parameter_length > name_length && memcmp(parameter, name, name_length) == 0 &&
+            parameter[name_length] == '=') {
+            percent_decode(parameter + name_length + 1, parameter_length - name_length - 1, value,
+                           size);
             return true;
         }
-        part = next;
+        parameter = next;
     }
     return false;
 }
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -17,11 +17,11 @@
 enum http_message_kind { HTTP_MESSAGE_REQUEST, HTTP_MESSAGE_RESPONSE };
 
 enum http_parse_result {
-    HTTP_PARSE_MORE,      /**< the message is not complete */
-    HTTP_PARSE_DONE,      /**< the message is complete */
-    HTTP_PARSE_MALFORMED, /**< these bytes are no HTTP message */
-    HTTP_PARSE_HEAD_SIZE, /**< the head is longer than allowed */
-    HTTP_PARSE_BODY_SIZE, /**< the body is longer than allowed */
+    HTTP_PARSE_MORE,           /**< the message is not complete */
+    HTTP_PARSE_DONE,           /**< the message is complete */
+    HTTP_PARSE_MALFORMED,      /**< these bytes are no HTTP message */
+    HTTP_PARSE_HEAD_TOO_LARGE, /**< the head is longer than allowed */
+    HTTP_PARSE_BODY_TOO_LARGE, /**< the body is longer than allowed */
 };
 
 /** Place of a header field in the text of the head. */
@@ -59,21 +59,21 @@
 /**
  * \brief Parse bytes. \param used how many belong to this message; the rest begins the next one
  */
-enum http_parse_result http_message_feed(struct http_message *message, const char *bytes,
-                                         size_t size, size_t *used);
+enum http_parse_result http_message_parse(struct http_message *message, const char *bytes,
+                                          size_t size, size_t *used);
 /** \brief The connection ended in order. \return HTTP_PARSE_DONE when that ends the message */
-enum http_parse_result http_message_end(struct http_message *message);
+enum http_parse_result http_message_end_of_input(struct http_message *message);
 
 /** \brief Method of a request, as "GET". */
 const char *http_message_method(const struct http_message *message);
 unsigned http_message_status(const struct http_message *message);
 /** \brief Find a field by name, ignoring case. \return its number, or -1 */
-int http_message_find(const struct http_message *message, const char *name);
+int http_message_find_field(const struct http_message *message, const char *name);
 /** \brief Copy the value of a field. \return false, and "" in `value`, when absent or too long */
-bool http_message_value(const struct http_message *message, const char *name, char *value,
-                        size_t size);
+bool http_message_field_value(const struct http_message *message, const char *name, char *value,
+                              size_t size);
 /** \return whether the field `index` has this name, ignoring case */
-bool http_message_is(const struct http_message *message, uint32_t index, const char *name);
+bool http_message_field_is(const struct http_message *message, uint32_t index, const char *name);
 
 /** \brief Copy one value of a query string, with escapes undone. \return false when absent */
 bool http_query_value(const char *target, size_t length, const char *name, char *value,
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -10,19 +10,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PACED_BLOCK 32768
+#define PACED_BLOCK_BYTES 32768
 #define MAX_REPLY_HEADERS 12
-#define HEADER_TEXT_SIZE 768
+#define HEADER_VALUE_SIZE 768
 #define IDLE_TIMEOUT_SECONDS 60
 
-struct kept_header {
+struct stored_header {
     char name[48];
-    char value[HEADER_TEXT_SIZE];
+    char value[HEADER_VALUE_SIZE];
 };
 
 /*
- * One request. The listener's thread owns it until http_keep(); then it is shared with the keeper
- * under `lock` and freed when both sides let go.
+ * One request. The listener's thread owns it until http_exchange_retain(); then it is shared with
+ * the keeper under `lock` and freed when both sides let go.
  */
 struct http_exchange {
     struct http_server *server;
@@ -45,7 +45,7 @@
     bool broken;
     unsigned status;
     char content_type[64];
-    struct kept_header *headers;
+    struct stored_header *headers;
     size_t header_count;
     uint8_t *pending; /* bytes that wait for the client */
     size_t pending_size;
@@ -80,18 +80,18 @@
         free_exchange(exchange);
 }
 
-void http_release(struct http_exchange *exchange)
+void http_exchange_release(struct http_exchange *exchange)
 {
     pthread_mutex_lock(&exchange->lock);
     drop_reference(exchange);
 }
 
-void http_set_tag(struct http_exchange *exchange, uint64_t tag)
+void http_exchange_set_tag(struct http_exchange *exchange, uint64_t tag)
 {
     exchange->tag = tag;
 }
 
-uint64_t http_tag(const struct http_exchange *exchange)
+uint64_t http_exchange_tag(const struct http_exchange *exchange)
 {
     return exchange->tag;
 }
@@ -108,7 +108,8 @@
 
 /* ---- whole replies ---- */
 
-static void queue(struct http_exchange *exchange, unsigned status, struct MHD_Response *response)
+static void queue_response(struct http_exchange *exchange, unsigned status,
+                           struct MHD_Response *response)
 {
     exchange->replied = true;
     MHD_queue_response(exchange->connection, status, response);
@@ -123,7 +124,7 @@
     MHD_add_response_header(response, "Content-Type", content_type);
     for (size_t i = 0; headers && headers[i].name; i++)
         MHD_add_response_header(response, headers[i].name, headers[i].value);
-    queue(exchange, status, response);
+    queue_response(exchange, status, response);
 }
 
 void http_reply_shared(struct http_exchange *exchange, unsigned status, const void *body,
@@ -132,29 +133,30 @@
     struct MHD_Response *response =
         MHD_create_response_from_buffer_with_free_callback_cls(size, (void *)body, release, owner);
     MHD_add_response_header(response, "Content-Type", "application/octet-stream");
-    queue(exchange, status, response);
+    queue_response(exchange, status, response);
 }
 
 void http_reply_paced(struct http_exchange *exchange, unsigned status, uint64_t size,
-                      ssize_t (*read)(void *owner, uint64_t position, char *buffer, size_t most),
+                      ssize_t (*read)(void *owner, uint64_t position, char *buffer,
+                                      size_t max_size),
                       void (*release)(void *owner), void *owner)
 {
     struct MHD_Response *response =
-        MHD_create_response_from_callback(size, PACED_BLOCK, read, owner, release);
+        MHD_create_response_from_callback(size, PACED_BLOCK_BYTES, read, owner, release);
     MHD_add_response_header(response, "Content-Type", "application/octet-stream");
-    queue(exchange, status, response);
+    queue_response(exchange, status, response);
 }
 
 /* ---- kept exchanges ---- */
 
-void http_keep(struct http_exchange *exchange)
+void http_exchange_retain(struct http_exchange *exchange)
 {
     exchange->kept = true;
     exchange->references = 2;
 }
 
 /* Lock held. */
-static void resume(struct http_exchange *exchange)
+static void resume_connection(struct http_exchange *exchange)
 {
     if (!exchange->suspended || exchange->closed)
         return;
@@ -169,13 +171,13 @@
     exchange->began = true;
     exchange->status = status;
     snprintf(exchange->content_type, sizeof exchange->content_type, "%s", content_type);
-    exchange->headers = memory_zero(MAX_REPLY_HEADERS, sizeof *exchange->headers);
+    exchange->headers = memory_calloc(MAX_REPLY_HEADERS, sizeof *exchange->headers);
     for (size_t i = 0; headers && headers[i].name && i < MAX_REPLY_HEADERS; i++) {
-        struct kept_header *kept = &exchange->headers[exchange->header_count++];
-        snprintf(kept->name, sizeof kept->name, "%s", headers[i].name);
-        snprintf(kept->value, sizeof kept->value, "%s", headers[i].value);
+        struct stored_header *stored = &exchange->headers[exchange->header_count++];
+        snprintf(stored->name, sizeof stored->name, "%s", headers[i].name);
+        snprintf(stored->value, sizeof stored->value, "%s", headers[i].value);
     }
-    resume(exchange);
+    resume_connection(exchange);
     pthread_mutex_unlock(&exchange->lock);
 }
 
@@ -183,58 +185,58 @@
 {
     pthread_mutex_lock(&exchange->lock);
     size_t waiting = exchange->pending_size - exchange->pending_start;
-    bool taken = !exchange->closed && waiting + size <= limit;
-    if (taken) {
+    bool accepted = !exchange->closed && waiting + size <= limit;
+    if (accepted) {
         if (waiting)
             memmove(exchange->pending, exchange->pending + exchange->pending_start, waiting);
-        exchange->pending = memory_resize(exchange->pending, waiting + size);
+        exchange->pending = memory_realloc(exchange->pending, waiting + size);
         memcpy(exchange->pending + waiting, data, size);
         exchange->pending_start = 0;
         exchange->pending_size = waiting + size;
-        resume(exchange);
+        resume_connection(exchange);
     }
     pthread_mutex_unlock(&exchange->lock);
-    return taken;
+    return accepted;
 }
 
 void http_stream_end(struct http_exchange *exchange)
 {
     pthread_mutex_lock(&exchange->lock);
     exchange->ended = true;
-    resume(exchange);
+    resume_connection(exchange);
     pthread_mutex_unlock(&exchange->lock);
 }
 
-void http_stream_break(struct http_exchange *exchange)
+void http_stream_abort(struct http_exchange *exchange)
 {
     pthread_mutex_lock(&exchange->lock);
     exchange->broken = true;
-    resume(exchange);
+    resume_connection(exchange);
     pthread_mutex_unlock(&exchange->lock);
 }
 
 /* MHD asks for bytes: give what waits, or sleep until the keeper has more. */
-static ssize_t read_stream(void *context, uint64_t position, char *buffer, size_t most)
+static ssize_t read_stream(void *context, uint64_t position, char *buffer, size_t max_size)
 {
     struct http_exchange *exchange = context;
-    ssize_t given = 0;
+    ssize_t produced = 0;
     pthread_mutex_lock(&exchange->lock);
     size_t waiting = exchange->pending_size - exchange->pending_start;
     if (exchange->broken) {
-        given = MHD_CONTENT_READER_END_WITH_ERROR;
+        produced = MHD_CONTENT_READER_END_WITH_ERROR;
     } else if (waiting) {
-        size_t size = waiting < most ? waiting : most;
+        size_t size = waiting < max_size ? waiting : max_size;
         memcpy(buffer, exchange->pending + exchange->pending_start, size);
         exchange->pending_start += size;
-        given = (ssize_t)size;
+        produced = (ssize_t)size;
     } else if (exchange->ended) {
-        given = MHD_CONTENT_READER_END_OF_STREAM;
+        produced = MHD_CONTENT_READER_END_OF_STREAM;
     } else {
         exchange->suspended = true;
         MHD_suspend_connection(exchange->connection);
     }
     pthread_mutex_unlock(&exchange->lock);
-    return given;
+    return produced;
 }
 
 /* The keeper has begun the response: status and headers stay as they are. */
@@ -254,18 +256,18 @@
 static enum MHD_Result continue_kept(struct http_exchange *exchange)
 {
     pthread_mutex_lock(&exchange->lock);
-    bool queues = exchange->began && !exchange->replied;
-    bool breaks = exchange->broken && !exchange->replied;
-    if (!queues && !breaks && !exchange->replied) {
+    bool queue_now = exchange->began && !exchange->replied;
+    bool close_now = exchange->broken && !exchange->replied;
+    if (!queue_now && !close_now && !exchange->replied) {
         exchange->suspended = true;
         MHD_suspend_connection(exchange->connection);
     }
     pthread_mutex_unlock(&exchange->lock);
-    if (breaks)
+    if (close_now)
         return MHD_NO; /* closes the connection */
     /* Not under the lock: libmicrohttpd locks the response here, and takes the two in the other
      * order when it asks for bytes. */
-    return queues ? queue_stream(exchange) : MHD_YES;
+    return queue_now ? queue_stream(exchange) : MHD_YES;
 }
 
 /* ---- libmicrohttpd callbacks ---- */
@@ -276,7 +278,7 @@
         exchange->too_large = true;
         return;
     }
-    exchange->body = memory_resize(exchange->body, exchange->body_size + size);
+    exchange->body = memory_realloc(exchange->body, exchange->body_size + size);
     memcpy(exchange->body + exchange->body_size, data, size);
     exchange->body_size += size;
 }
@@ -299,11 +301,11 @@
                                              struct MHD_Connection *connection, const char *path,
                                              const char *method)
 {
-    struct http_exchange *exchange = memory_zero(1, sizeof *exchange);
+    struct http_exchange *exchange = memory_calloc(1, sizeof *exchange);
     exchange->server = server;
     exchange->connection = connection;
-    exchange->path = memory_string(path);
-    exchange->method = memory_string(method);
+    exchange->path = memory_strdup(path);
+    exchange->method = memory_strdup(method);
     exchange->references = 1;
     pthread_mutex_init(&exchange->lock, NULL);
     return exchange;
@@ -350,7 +352,7 @@
 
 struct http_server *http_server_start(const struct http_server_settings *settings)
 {
-    struct http_server *server = memory_zero(1, sizeof *server);
+    struct http_server *server = memory_calloc(1, sizeof *server);
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(settings->port)};
     server->settings = *settings;
     if (inet_pton(AF_INET, settings->address, &address.sin_addr) != 1) {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -40,7 +40,7 @@
     const char *tls_key;
     http_handler *handler;
     /** The client of a kept exchange went away, or its response is complete; the exchange is freed
-     *  when the handler's owner calls http_release(). May be NULL. */
+     *  when the handler's owner calls http_exchange_release(). May be NULL. */
     void (*closed)(void *context, struct http_exchange *exchange);
     void *context;
 };
@@ -70,11 +70,12 @@
  *        block. `release(owner)` is called at the end, also of a broken response.
  */
 void http_reply_paced(struct http_exchange *exchange, unsigned status, uint64_t size,
-                      ssize_t (*read)(void *owner, uint64_t position, char *buffer, size_t most),
+                      ssize_t (*read)(void *owner, uint64_t position, char *buffer,
+                                      size_t max_size),
                       void (*release)(void *owner), void *owner);
 
 /** \brief Keep the exchange beyond the handler; call once, within the handler. */
-void http_keep(struct http_exchange *exchange);
+void http_exchange_retain(struct http_exchange *exchange);
 
 /* For kept exchanges, from any thread. The head goes out with the first call. */
 /** \return false when the client is gone or `limit` bytes wait for a slow client */
@@ -83,11 +84,11 @@
                        const struct http_reply_header *headers);
 void http_stream_end(struct http_exchange *exchange);
 /** \brief Break the connection, so that the client cannot take what it has for whole. */
-void http_stream_break(struct http_exchange *exchange);
+void http_stream_abort(struct http_exchange *exchange);
 /** \brief Give the kept exchange back; it must not be used afterwards. */
-void http_release(struct http_exchange *exchange);
+void http_exchange_release(struct http_exchange *exchange);
 /** \brief Owner's own word for a kept exchange. */
-void http_set_tag(struct http_exchange *exchange, uint64_t tag);
-uint64_t http_tag(const struct http_exchange *exchange);
+void http_exchange_set_tag(struct http_exchange *exchange, uint64_t tag);
+uint64_t http_exchange_tag(const struct http_exchange *exchange);
 
 #endif
--- a/src/net/http_service.c
+++ b/src/net/http_service.c
@@ -8,13 +8,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEAD_LIMIT 16384
+#define HEAD_LIMIT_BYTES 16384
 /** Connections are looked at so often in the time that they may be idle. */
-#define SWEEPS_PER_IDLE_TIME 4
+#define IDLE_CHECKS_PER_TIMEOUT 4
 
 struct http_service {
     uv_tcp_t listener;
-    uv_timer_t sweep;
+    uv_timer_t idle_check_timer;
     struct http_service_limits limits;
     service_handler *handler;
     void *context;
@@ -26,31 +26,31 @@
     struct http_service *service;
     struct tcp_stream *stream; /* NULL when the peer is gone */
     struct http_message message;
-    struct buffer unread;
-    bool waiting;
+    struct buffer unparsed;
+    bool awaiting_reply;
     bool parsing;
-    uint64_t heard_at; /* time of the last bytes, or of the last answer */
+    uint64_t last_activity_us; /* time of the last bytes, or of the last answer */
     struct service_call *next;
-    struct service_call **place;
+    struct service_call **previous_link;
 };
 
-static void call_free(struct service_call *call)
+static void free_call(struct service_call *call)
 {
-    *call->place = call->next;
+    *call->previous_link = call->next;
     if (call->next)
-        call->next->place = call->place;
+        call->next->previous_link = call->previous_link;
     http_message_clear(&call->message);
-    buffer_clear(&call->unread);
+    buffer_clear(&call->unparsed);
     free(call);
 }
 
-static void call_end(struct service_call *call)
+static void close_call(struct service_call *call)
 {
     if (call->stream)
         tcp_stream_close(call->stream);
     call->stream = NULL;
-    if (!call->waiting && !call->parsing)
-        call_free(call);
+    if (!call->awaiting_reply && !call->parsing)
+        free_call(call);
 }
 
 static void write_reply(struct service_call *call, unsigned status, const char *content_type,
@@ -76,19 +76,19 @@
         .body = call->message.body.data,
         .body_size = call->message.body.size,
     };
-    call->waiting = true;
+    call->awaiting_reply = true;
     call->service->handler(call->service->context, call, &request);
 }
 
 static void parse(struct service_call *call)
 {
     call->parsing = true;
-    while (call->stream && !call->waiting && call->unread.size) {
+    while (call->stream && !call->awaiting_reply && call->unparsed.size) {
         size_t used;
         enum http_parse_result result =
-            http_message_feed(&call->message, call->unread.data, call->unread.size, &used);
+            http_message_parse(&call->message, call->unparsed.data, call->unparsed.size, &used);
         if (result == HTTP_PARSE_MORE) {
-            buffer_reset(&call->unread);
+            buffer_reset(&call->unparsed);
             break;
         }
         if (result != HTTP_PARSE_DONE) {
@@ -97,25 +97,25 @@
             call->stream = NULL;
             break;
         }
-        buffer_consume(&call->unread, used);
+        buffer_consume(&call->unparsed, used);
         dispatch(call);
     }
     call->parsing = false;
-    if (!call->stream && !call->waiting)
-        call_free(call);
+    if (!call->stream && !call->awaiting_reply)
+        free_call(call);
 }
 
 static void on_received(void *context, const char *bytes, size_t size)
 {
     struct service_call *call = context;
-    call->heard_at = clock_monotonic_us();
-    buffer_append(&call->unread, bytes, size);
+    call->last_activity_us = clock_monotonic_us();
+    buffer_append(&call->unparsed, bytes, size);
     parse(call);
 }
 
 static void on_ended(void *context, enum tcp_end end)
 {
-    call_end(context);
+    close_call(context);
 }
 
 static const struct tcp_stream_callbacks stream_callbacks = {.received = on_received,
@@ -124,8 +124,8 @@
 void service_reply(struct service_call *call, unsigned status, const char *content_type,
                    const void *body, size_t size)
 {
-    call->waiting = false;
-    call->heard_at = clock_monotonic_us();
+    call->awaiting_reply = false;
+    call->last_activity_us = clock_monotonic_us();
     if (call->stream) {
         bool keep = call->message.keep_alive;
         write_reply(call, status, content_type, body, size);
@@ -139,12 +139,12 @@
     if (call->parsing)
         return;
     if (!call->stream)
-        call_free(call);
+        free_call(call);
     else
         parse(call);
 }
 
-bool service_call_is_gone(const struct service_call *call)
+bool service_call_is_disconnected(const struct service_call *call)
 {
     return !call->stream;
 }
@@ -163,33 +163,33 @@
         log_event(LOG_LEVEL_WARN, "service", "accept-failed", "error=\"%s\"", uv_strerror(status));
         return;
     }
-    struct service_call *call = memory_zero(1, sizeof *call);
+    struct service_call *call = memory_calloc(1, sizeof *call);
     call->service = service;
-    call->heard_at = clock_monotonic_us();
+    call->last_activity_us = clock_monotonic_us();
     call->next = service->calls;
-    call->place = &service->calls;
+    call->previous_link = &service->calls;
     if (call->next)
-        call->next->place = &call->next;
+        call->next->previous_link = &call->next;
     service->calls = call;
-    call->message.head_limit = HEAD_LIMIT;
+    call->message.head_limit = HEAD_LIMIT_BYTES;
     call->message.body_limit = service->limits.body_bytes;
     http_message_begin(&call->message, HTTP_MESSAGE_REQUEST);
     call->stream = tcp_stream_accept(listener, &stream_callbacks, call);
     if (!call->stream)
-        call_free(call);
+        free_call(call);
 }
 
 /* Machines that lost power close nothing: each of their connections would take a descriptor for as
  * long as this process runs. */
-static void on_sweep(uv_timer_t *timer)
+static void on_idle_check(uv_timer_t *timer)
 {
     struct http_service *service = timer->data;
     uint64_t now = clock_monotonic_us();
-    uint64_t idle_us = service->limits.idle_ms * (uint64_t)1000;
+    uint64_t idle_us = service->limits.idle_timeout_ms * (uint64_t)1000;
     for (struct service_call *call = service->calls, *next; call; call = next) {
         next = call->next;
-        if (!call->waiting && call->stream && now > call->heard_at + idle_us)
-            call_end(call);
+        if (!call->awaiting_reply && call->stream && now > call->last_activity_us + idle_us)
+            close_call(call);
     }
 }
 
@@ -197,7 +197,7 @@
                                         const struct http_service_limits *limits,
                                         service_handler *handler, void *context)
 {
-    struct http_service *service = memory_zero(1, sizeof *service);
+    struct http_service *service = memory_calloc(1, sizeof *service);
     service->limits = *limits;
     service->handler = handler;
     service->context = context;
@@ -206,10 +206,10 @@
         status_fail(STATUS_IO, "cannot listen: %s", uv_strerror(error));
         return NULL;
     }
-    uv_timer_init(loop, &service->sweep);
-    service->sweep.data = service;
-    uint64_t period = limits->idle_ms / SWEEPS_PER_IDLE_TIME + 1;
-    uv_timer_start(&service->sweep, on_sweep, period, period);
-    uv_unref((uv_handle_t *)&service->sweep);
+    uv_timer_init(loop, &service->idle_check_timer);
+    service->idle_check_timer.data = service;
+    uint64_t period = limits->idle_timeout_ms / IDLE_CHECKS_PER_TIMEOUT + 1;
+    uv_timer_start(&service->idle_check_timer, on_idle_check, period, period);
+    uv_unref((uv_handle_t *)&service->idle_check_timer);
     return service;
 }
--- a/src/net/http_service.h
+++ b/src/net/http_service.h
@@ -24,14 +24,14 @@
 
 /** What a peer may take up. */
 struct http_service_limits {
-    size_t body_bytes; /**< of one call */
-    uint32_t idle_ms;  /**< a connection is closed when its peer sends nothing, and waits for no
-                            answer, for so long */
+    size_t body_bytes;        /**< of one call */
+    uint32_t idle_timeout_ms; /**< a connection is closed when its peer sends nothing, and waits for
+                           no answer, for so long */
 };
 
 /** Pollers come every few seconds, and nodes that ask each other connect again when they need to:
  *  whoever is silent for a minute is most likely gone. */
-#define HTTP_SERVICE_IDLE_MS 60000
+#define HTTP_SERVICE_IDLE_TIMEOUT_MS 60000
 
 typedef void service_handler(void *context, struct service_call *call,
                              const struct service_request *request);
@@ -44,7 +44,7 @@
 void service_reply(struct service_call *call, unsigned status, const char *content_type,
                    const void *body, size_t size);
 /** \return whether the peer closed the connection: an answer would reach nobody */
-bool service_call_is_gone(const struct service_call *call);
+bool service_call_is_disconnected(const struct service_call *call);
 /** \return whether the path, without its query, is this one */
 bool service_path_is(const struct service_request *request, const char *path);
 
--- a/src/net/key_ring.c
+++ b/src/net/key_ring.c
@@ -9,14 +9,14 @@
 
 #define LINE_SIZE 256
 
-static void report(struct findings *findings, const char *path, int line, const char *text)
+static void add_line_error(struct findings *findings, const char *path, int line, const char *text)
 {
     char place[300];
     snprintf(place, sizeof place, "%s:%d", path, line);
     findings_add(findings, FINDING_ERROR, place, "%s", text);
 }
 
-static int slot_number(const char *name)
+static int slot_from_name(const char *name)
 {
     if (strcmp(name, "a") == 0)
         return 0;
@@ -24,7 +24,7 @@
 }
 
 /* Whether the two are a pair; libzmq works the public key out of the secret one. */
-static bool is_pair(const char *public_key, const char *secret_key)
+static bool is_key_pair(const char *public_key, const char *secret_key)
 {
     char derived[KEY_TEXT_SIZE];
     return strlen(public_key) == KEY_TEXT_SIZE - 1 && strlen(secret_key) == KEY_TEXT_SIZE - 1 &&
@@ -34,8 +34,8 @@
 static void read_slot(struct key_ring *ring, int slot, const char *public_key,
                       const char *secret_key, const char *path, int line, struct findings *findings)
 {
-    if (!is_pair(public_key, secret_key)) {
-        report(findings, path, line, "these are no pair of CURVE keys");
+    if (!is_key_pair(public_key, secret_key)) {
+        add_line_error(findings, path, line, "these are no pair of CURVE keys");
         return;
     }
     ring->slots[slot].present = true;
@@ -51,48 +51,49 @@
     int count = sscanf(text, "%255s %255s %255s", words[0], words[1], words[2]);
     if (count <= 0 || words[0][0] == '#')
         return -1;
-    if (count == 2 && strcmp(words[0], "use") == 0 && slot_number(words[1]) >= 0)
-        return slot_number(words[1]);
-    if (count == 3 && slot_number(words[0]) >= 0)
-        read_slot(ring, slot_number(words[0]), words[1], words[2], path, line, findings);
+    if (count == 2 && strcmp(words[0], "use") == 0 && slot_from_name(words[1]) >= 0)
+        return slot_from_name(words[1]);
+    if (count == 3 && slot_from_name(words[0]) >= 0)
+        read_slot(ring, slot_from_name(words[0]), words[1], words[2], path, line, findings);
     else
-        report(findings, path, line, "expected `a PUBLIC SECRET`, `b PUBLIC SECRET` or `use a|b`");
+        add_line_error(findings, path, line,
+                       "expected `a PUBLIC SECRET`, `b PUBLIC SECRET` or `use a|b`");
     return -1;
 }
 
 enum status key_ring_read(const char *path, struct key_ring *ring, struct findings *findings)
 {
-    struct key_ring read = {.enabled = true};
+    struct key_ring parsed = {.enabled = true};
     char text[LINE_SIZE];
     size_t before = findings->error_count;
-    int use = -1;
+    int active_slot = -1;
     FILE *stream = fopen(path, "r");
     if (!stream) {
         findings_add(findings, FINDING_ERROR, path, "%s", strerror(errno));
         return status_fail(STATUS_INVALID, "the key file cannot be read");
     }
     for (int line = 1; fgets(text, sizeof text, stream); line++) {
-        int slot = read_line(&read, text, path, line, findings);
-        use = slot >= 0 ? slot : use;
+        int slot = read_line(&parsed, text, path, line, findings);
+        active_slot = slot >= 0 ? slot : active_slot;
     }
     fclose(stream);
-    if (use < 0 || !read.slots[use].present)
+    if (active_slot < 0 || !parsed.slots[active_slot].present)
         findings_add(findings, FINDING_ERROR, path, "`use` must name a slot that has keys");
     if (findings->error_count > before)
         return status_fail(STATUS_INVALID, "the key file has errors");
-    read.use = (unsigned)use;
-    *ring = read;
+    parsed.active_slot = (unsigned)active_slot;
+    *ring = parsed;
     return STATUS_OK;
 }
 
-struct timespec key_ring_changed_at(const char *path)
+struct timespec key_ring_file_modified_at(const char *path)
 {
     struct stat information = {0};
     stat(path, &information);
     return information.st_mtim;
 }
 
-bool key_ring_knows(const struct key_ring *ring, const char *public_key)
+bool key_ring_contains(const struct key_ring *ring, const char *public_key)
 {
     for (unsigned slot = 0; slot < KEY_SLOTS; slot++)
         if (ring->slots[slot].present && strcmp(ring->slots[slot].public_key, public_key) == 0)
--- a/src/net/link_listener.c
+++ b/src/net/link_listener.c
@@ -29,7 +29,7 @@
 /* A peer without the fleet's keys does not get as far as the authenticator: its handshake
  * fails.
  */
-static void on_refused_handshake(void *context)
+static void on_handshake_failed(void *context)
 {
     struct link_listener *listener = context;
     char event[16];
@@ -55,7 +55,7 @@
                            ZMQ_EVENT_HANDSHAKE_FAILED_AUTH);
     listener->monitors[slot] = zmq_socket(listener->zmq, ZMQ_PAIR);
     zmq_connect(listener->monitors[slot], endpoint);
-    loop_watch_socket(listener->loop, listener->monitors[slot], on_refused_handshake, listener);
+    loop_watch_socket(listener->loop, listener->monitors[slot], on_handshake_failed, listener);
 }
 
 static void close_monitor(struct link_listener *listener, unsigned slot)
@@ -70,8 +70,8 @@
 {
     int type = listener->kind == LINK_CONTROL ? ZMQ_PULL : ZMQ_ROUTER;
     void *socket = zmq_socket(listener->zmq, type);
-    link_socket_prepare(socket);
-    link_socket_serve_keys(socket, &listener->keys, slot);
+    link_socket_set_common_options(socket);
+    link_socket_set_server_keys(socket, &listener->keys, slot);
     if (zmq_bind(socket, listener->endpoints[slot]) != 0) {
         status_fail(STATUS_IO, "%s: %s", listener->endpoints[slot], zmq_strerror(zmq_errno()));
         zmq_close(socket);
@@ -93,7 +93,7 @@
     listener->sockets[slot] = NULL;
 }
 
-static bool is_served(const struct key_ring *keys, unsigned slot)
+static bool is_slot_enabled(const struct key_ring *keys, unsigned slot)
 {
     return keys->enabled ? keys->slots[slot].present : slot == 0;
 }
@@ -102,14 +102,14 @@
                                          uint16_t port, const struct key_ring *keys,
                                          struct loop *loop, loop_callback *readable, void *context)
 {
-    struct link_listener *listener = memory_zero(1, sizeof *listener);
+    struct link_listener *listener = memory_calloc(1, sizeof *listener);
     *listener = (struct link_listener){
         .zmq = zmq, .kind = kind, .loop = loop, .readable = readable, .context = context};
     listener->keys = *keys;
     for (unsigned slot = 0; slot < KEY_SLOTS; slot++) {
         snprintf(listener->endpoints[slot], ENDPOINT_SIZE, "tcp://%s:%u", address,
-                 port + slot * KEY_SLOT_PORT_STEP);
-        if (is_served(keys, slot) && open_slot(listener, slot) != STATUS_OK) {
+                 port + slot * KEY_SLOT_PORT_OFFSET);
+        if (is_slot_enabled(keys, slot) && open_slot(listener, slot) != STATUS_OK) {
             link_listener_close(listener);
             return NULL;
         }
@@ -134,33 +134,33 @@
         if (memcmp(&before.slots[slot], &keys->slots[slot], sizeof before.slots[slot]) == 0)
             continue;
         close_slot(listener, slot);
-        if (is_served(keys, slot))
+        if (is_slot_enabled(keys, slot))
             open_slot(listener, slot); /* a port that is still busy is tried at the next change */
     }
 }
 
-static bool take_identity(void *socket, struct link_route *route)
+static bool receive_identity(void *socket, struct link_route *route)
 {
     zmq_msg_t identity;
     zmq_msg_init(&identity);
-    bool taken = zmq_msg_recv(&identity, socket, ZMQ_DONTWAIT) >= 0;
-    size_t size = taken ? zmq_msg_size(&identity) : 0;
-    if (taken && size <= LINK_ROUTE_SIZE) {
+    bool received = zmq_msg_recv(&identity, socket, ZMQ_DONTWAIT) >= 0;
+    size_t size = received ? zmq_msg_size(&identity) : 0;
+    if (received && size <= LINK_ROUTE_SIZE) {
         memcpy(route->bytes, zmq_msg_data(&identity), size);
         route->size = (uint8_t)size;
     }
     zmq_msg_close(&identity);
-    return taken;
+    return received;
 }
 
-static Shuntrun__Envelope *take_from(struct link_listener *listener, unsigned slot,
-                                     struct link_route *route)
+static Shuntrun__Envelope *receive_from_slot(struct link_listener *listener, unsigned slot,
+                                             struct link_route *route)
 {
     void *socket = listener->sockets[slot];
     while (socket && link_socket_readable(socket)) {
-        if (listener->kind == LINK_TRAFFIC && !take_identity(socket, route))
+        if (listener->kind == LINK_TRAFFIC && !receive_identity(socket, route))
             return NULL;
-        Shuntrun__Envelope *message = link_socket_take(socket);
+        Shuntrun__Envelope *message = link_socket_receive(socket);
         if (!message)
             continue; /* malformed bytes are dropped */
         if (route)
@@ -170,16 +170,16 @@
     return NULL;
 }
 
-Shuntrun__Envelope *link_listener_take(struct link_listener *listener, struct link_route *route)
+Shuntrun__Envelope *link_listener_receive(struct link_listener *listener, struct link_route *route)
 {
     Shuntrun__Envelope *message = NULL;
     for (unsigned slot = 0; slot < KEY_SLOTS && !message; slot++)
-        message = take_from(listener, slot, route);
+        message = receive_from_slot(listener, slot, route);
     return message;
 }
 
-enum status link_listener_answer(struct link_listener *listener, const struct link_route *route,
-                                 const Shuntrun__Envelope *message)
+enum status link_listener_reply(struct link_listener *listener, const struct link_route *route,
+                                const Shuntrun__Envelope *message)
 {
     void *socket = listener->sockets[route->slot];
     if (!socket)
--- a/src/net/links.h
+++ b/src/net/links.h
@@ -27,15 +27,16 @@
 struct links;
 
 /** An answer came over a LINK_TRAFFIC link; the message is valid during the call. */
-typedef void links_take(void *context, uint64_t peer, const Shuntrun__Envelope *message);
+typedef void links_receive_callback(void *context, uint64_t peer,
+                                    const Shuntrun__Envelope *message);
 
 /**
  * \param zmq context of the process
  * \param loop whose thread owns the links
- * \param take for answers; NULL for LINK_CONTROL
+ * \param on_message for answers; NULL for LINK_CONTROL
  */
 struct links *links_create(void *zmq, enum link_kind kind, const struct key_ring *keys,
-                           struct loop *loop, links_take *take, void *context);
+                           struct loop *loop, links_receive_callback *on_message, void *context);
 void links_destroy(struct links *links);
 
 /** \brief Connect anew with other keys; old connections still bring their answers for a while. */
@@ -44,7 +45,7 @@
 /** \brief Connect ahead of the first message. */
 void links_connect(struct links *links, const struct machine *machine);
 /** \brief Close links to machines that are not in the list. */
-void links_keep(struct links *links, const uint64_t *ids, uint32_t count);
+void links_close_unlisted(struct links *links, const uint64_t *ids, uint32_t count);
 
 /** \return STATUS_IO when nothing was handed to the transport */
 enum status links_send(struct links *links, const struct machine *machine,
@@ -77,8 +78,8 @@
  * \param route filled for LINK_TRAFFIC; may be NULL for LINK_CONTROL
  * \return freed by the caller with shuntrun__envelope__free_unpacked()
  */
-Shuntrun__Envelope *link_listener_take(struct link_listener *listener, struct link_route *route);
-enum status link_listener_answer(struct link_listener *listener, const struct link_route *route,
-                                 const Shuntrun__Envelope *message);
+Shuntrun__Envelope *link_listener_receive(struct link_listener *listener, struct link_route *route);
+enum status link_listener_reply(struct link_listener *listener, const struct link_route *route,
+                                const Shuntrun__Envelope *message);
 
 #endif
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -13,14 +13,14 @@
 
 #define CONNECT_TIMEOUT_MS 1000L
 
-struct posted {
+struct posted_call {
     ck_stack_entry_t link;
     loop_callback *callback;
     void *argument;
 };
-CK_STACK_CONTAINER(struct posted, link, posted_of)
+CK_STACK_CONTAINER(struct posted_call, link, posted_call_of)
 
-struct watched {
+struct watched_socket {
     void *socket;
     int descriptor;
     loop_callback *callback;
@@ -46,10 +46,10 @@
     CURLM *multi;
     struct transfer *transfers;
     uint64_t next_number;
-    struct watched *sockets;
+    struct watched_socket *sockets;
     struct curl_waitfd *descriptors; /* one for each socket */
     uint32_t socket_count;
-    ck_stack_t posted;
+    ck_stack_t posted_calls;
     uint32_t stopped;
     uint64_t tick_us;
     uint64_t last_tick;
@@ -59,11 +59,11 @@
 
 struct loop *loop_create(void)
 {
-    struct loop *loop = memory_zero(1, sizeof *loop);
+    struct loop *loop = memory_calloc(1, sizeof *loop);
     loop->multi = curl_multi_init();
     loop->tick_us = 50000;
     loop->next_number = 1;
-    ck_stack_init(&loop->posted);
+    ck_stack_init(&loop->posted_calls);
     return loop;
 }
 
@@ -102,16 +102,16 @@
 
 void loop_post(struct loop *loop, loop_callback *callback, void *argument)
 {
-    struct posted *posted = memory_zero(1, sizeof *posted);
-    posted->callback = callback;
-    posted->argument = argument;
-    ck_stack_push_upmc(&loop->posted, &posted->link);
+    struct posted_call *posted_call = memory_calloc(1, sizeof *posted_call);
+    posted_call->callback = callback;
+    posted_call->argument = argument;
+    ck_stack_push_upmc(&loop->posted_calls, &posted_call->link);
     curl_multi_wakeup(loop->multi);
 }
 
 static void run_posted(struct loop *loop)
 {
-    ck_stack_entry_t *newest = ck_stack_batch_pop_upmc(&loop->posted);
+    ck_stack_entry_t *newest = ck_stack_batch_pop_upmc(&loop->posted_calls);
     ck_stack_entry_t *oldest = NULL;
     while (newest) { /* the stack is last-in first-out: turn it round */
         ck_stack_entry_t *next = newest->next;
@@ -120,10 +120,10 @@
         newest = next;
     }
     while (oldest) {
-        struct posted *posted = posted_of(oldest);
+        struct posted_call *posted_call = posted_call_of(oldest);
         oldest = oldest->next;
-        posted->callback(posted->argument);
-        free(posted);
+        posted_call->callback(posted_call->argument);
+        free(posted_call);
     }
 }
 
@@ -134,7 +134,7 @@
     loop->tick_context = context;
 }
 
-void loop_drain(struct loop *loop)
+void loop_run_posted(struct loop *loop)
 {
     run_posted(loop);
 }
@@ -142,12 +142,13 @@
 void loop_watch_socket(struct loop *loop, void *socket, loop_callback *callback, void *context)
 {
     size_t count = loop->socket_count + 1;
-    loop->sockets = memory_resize(loop->sockets, count * sizeof *loop->sockets);
-    loop->descriptors = memory_resize(loop->descriptors, count * sizeof *loop->descriptors);
-    struct watched *watched = &loop->sockets[loop->socket_count++];
-    size_t size = sizeof watched->descriptor;
-    *watched = (struct watched){.socket = socket, .callback = callback, .context = context};
-    zmq_getsockopt(socket, ZMQ_FD, &watched->descriptor, &size);
+    loop->sockets = memory_realloc(loop->sockets, count * sizeof *loop->sockets);
+    loop->descriptors = memory_realloc(loop->descriptors, count * sizeof *loop->descriptors);
+    struct watched_socket *watched_socket = &loop->sockets[loop->socket_count++];
+    size_t size = sizeof watched_socket->descriptor;
+    *watched_socket =
+        (struct watched_socket){.socket = socket, .callback = callback, .context = context};
+    zmq_getsockopt(socket, ZMQ_FD, &watched_socket->descriptor, &size);
 }
 
 void loop_unwatch_socket(struct loop *loop, void *socket)
@@ -174,7 +175,7 @@
         transfer->over_limit = true;
         return 0;
     }
-    transfer->response = memory_resize(transfer->response, transfer->response_size + size);
+    transfer->response = memory_realloc(transfer->response, transfer->response_size + size);
     memcpy(transfer->response + transfer->response_size, data, size);
     transfer->response_size += size;
     if (transfer->call.on_bytes)
@@ -200,7 +201,8 @@
 
 /* The connection is there and nothing is sent yet: the last moment to find that it is too late,
  * as after a pause of the process. */
-static int before_request(void *context, char *remote, char *local, int remote_port, int local_port)
+static int check_send_deadline(void *context, char *remote, char *local, int remote_port,
+                               int local_port)
 {
     const struct transfer *transfer = context;
     bool late = clock_monotonic_us() > transfer->call.send_before_us;
@@ -222,7 +224,7 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, transfer);
     curl_easy_setopt(easy, CURLOPT_PRIVATE, transfer);
     if (call->send_before_us) {
-        curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, before_request);
+        curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, check_send_deadline);
         curl_easy_setopt(easy, CURLOPT_PREREQDATA, transfer);
     }
     if (call->fresh_connection) {
@@ -242,10 +244,10 @@
 
 uint64_t loop_http(struct loop *loop, const struct http_call *call)
 {
-    struct transfer *transfer = memory_zero(1, sizeof *transfer);
+    struct transfer *transfer = memory_calloc(1, sizeof *transfer);
     transfer->number = loop->next_number++;
     transfer->call = *call;
-    transfer->body = memory_copy(call->body, call->body_size);
+    transfer->body = memory_duplicate(call->body, call->body_size);
     transfer->easy = curl_easy_init();
     transfer->last_byte_us = clock_monotonic_us();
     set_options(transfer);
@@ -273,7 +275,7 @@
         free_transfer(loop, transfer);
 }
 
-static enum http_result result_of(CURLcode code)
+static enum http_result result_from_curl(CURLcode code)
 {
     if (code == CURLE_OK)
         return HTTP_COMPLETE;
@@ -282,7 +284,7 @@
     return unsent ? HTTP_NOT_SENT : HTTP_BROKEN;
 }
 
-uint8_t *http_response_take(struct http_response *response)
+uint8_t *http_response_take_body(struct http_response *response)
 {
     uint8_t *body = response->body;
     response->body = NULL;
@@ -316,12 +318,12 @@
             continue;
         struct transfer *transfer;
         curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, (char **)&transfer);
-        end_transfer(loop, transfer, result_of(message->data.result),
+        end_transfer(loop, transfer, result_from_curl(message->data.result),
                      curl_easy_strerror(message->data.result));
     }
 }
 
-static void break_stalled(struct loop *loop)
+static void abort_stalled(struct loop *loop)
 {
     uint64_t now = clock_monotonic_us();
     for (struct transfer *transfer = loop->transfers; transfer;) {
@@ -337,7 +339,7 @@
 
 /* ---- running ---- */
 
-static void drain_sockets(struct loop *loop)
+static void dispatch_sockets(struct loop *loop)
 {
     for (uint32_t i = 0; i < loop->socket_count; i++) {
         int events = 0;
@@ -364,7 +366,7 @@
     if (now - loop->last_tick < loop->tick_us)
         return;
     loop->last_tick = now;
-    break_stalled(loop);
+    abort_stalled(loop);
     if (loop->tick)
         loop->tick(loop->tick_context);
 }
@@ -375,7 +377,7 @@
         int running;
         wait_for_events(loop);
         run_posted(loop);
-        drain_sockets(loop);
+        dispatch_sockets(loop);
         curl_multi_perform(loop->multi, &running);
         finish_transfers(loop);
         run_tick(loop);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -17,7 +17,7 @@
 
 struct loop *loop_create(void);
 /** \brief Run what is still posted; after the loop's thread ended, before what it uses is freed. */
-void loop_drain(struct loop *loop);
+void loop_run_posted(struct loop *loop);
 /** \brief End all calls: `on_abandoned` is called for each, `on_done` is not. */
 void loop_destroy(struct loop *loop);
 
@@ -45,7 +45,7 @@
 struct http_response {
     enum http_result result;
     long status;
-    uint8_t *body; /**< empty when `on_data` took the bytes; see http_response_take() */
+    uint8_t *body; /**< empty when `on_data` took the bytes; see http_response_take_body() */
     size_t size;
     uint32_t retry_after_ms;
     char note[32];     /**< the X-Note header, "" when absent */
@@ -53,7 +53,7 @@
 };
 
 /** \brief Take the body over: freed by the caller from now on. */
-uint8_t *http_response_take(struct http_response *response);
+uint8_t *http_response_take_body(struct http_response *response);
 
 struct http_call {
     const char *method; /**< "GET" or "POST" */
--- a/src/net/node_shell.c
+++ b/src/net/node_shell.c
@@ -13,18 +13,19 @@
 
 #define TICK_US (50 * MICROSECONDS_PER_MILLISECOND)
 #define KEY_CHECK_US MICROSECONDS_PER_SECOND
-#define WATCH_WAIT_MS 2000
-#define WATCH_TIMEOUT_MS 5000
+#define LONG_POLL_WAIT_MS 2000
+#define LONG_POLL_TIMEOUT_MS 5000
 
 /* ---- platform documents ---- */
 
-struct read {
+struct document_read {
     struct node_shell *shell;
     Shuntrun__DocumentKind kind;
 };
 
 /* Body of the platform's answer: {"revision": N, "value": "<text>"} */
-static enum node_read_result take_value(struct read *read, struct http_response *response)
+static enum node_read_result apply_document(struct document_read *read,
+                                            struct http_response *response)
 {
     json_error_t error;
     json_t *root = json_loadb((const char *)response->body, response->size, 0, &error);
@@ -40,10 +41,10 @@
 
 static void on_document(void *context, struct http_response *response)
 {
-    struct read *read = context;
+    struct document_read *read = context;
     enum node_read_result result = NODE_READ_FAILED;
     if (response->result == HTTP_COMPLETE && response->status == 200)
-        result = take_value(read, response);
+        result = apply_document(read, response);
     else if (response->result == HTTP_COMPLETE && response->status == 204)
         result = NODE_READ_CURRENT;
     if (result == NODE_READ_FAILED)
@@ -58,19 +59,19 @@
 static void read_document(void *context, Shuntrun__DocumentKind kind, uint64_t known_revision)
 {
     struct node_shell *shell = context;
-    struct read *read = memory_zero(1, sizeof *read);
+    struct document_read *read = memory_calloc(1, sizeof *read);
     bool config = kind == SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG;
     char url[512];
-    *read = (struct read){shell, kind};
+    *read = (struct document_read){shell, kind};
     snprintf(url, sizeof url, "%s/v1/values/%s?after=%llu&wait_ms=%d",
              config ? shell->settings->config_url : shell->settings->machines_url,
              config ? shell->settings->config_key : "machines", (unsigned long long)known_revision,
-             WATCH_WAIT_MS);
+             LONG_POLL_WAIT_MS);
     struct http_call call = {
         .method = "GET",
         .url = url,
         .body_limit = 2 * CONFIG_MAX_BYTES + 4096,
-        .timeout_ms = WATCH_TIMEOUT_MS,
+        .timeout_ms = LONG_POLL_TIMEOUT_MS,
         .on_done = on_document,
         .on_abandoned = free,
         .context = read,
@@ -88,13 +89,13 @@
     links_send(shell->links, to, message); /* lost messages are made up for by later updates */
 }
 
-static void close_links_of_the_departed(struct node_shell *shell)
+static void close_unlisted_links(struct node_shell *shell)
 {
     const struct fleet *fleet = node_fleet(shell->node);
-    uint64_t *ids = memory_zero(fleet->count, sizeof *ids);
+    uint64_t *ids = memory_calloc(fleet->count, sizeof *ids);
     for (uint32_t i = 0; i < fleet->count; i++)
         ids[i] = fleet->machines[i].id;
-    links_keep(shell->links, ids, fleet->count);
+    links_close_unlisted(shell->links, ids, fleet->count);
     free(ids);
 }
 
@@ -102,7 +103,7 @@
 {
     struct node_shell *shell = context;
     const struct fleet_config *config = node_config(shell->node);
-    close_links_of_the_departed(shell);
+    close_unlisted_links(shell);
     if (config) {
         metric_add(METRIC_CONFIG_ACCEPTED, 1);
         metric_gauge_set(METRIC_CONFIG_REVISION, config->revision);
@@ -131,27 +132,27 @@
 {
     struct node_shell *shell = context;
     Shuntrun__Envelope *message;
-    while ((message = link_listener_take(shell->inbound, NULL))) {
+    while ((message = link_listener_receive(shell->inbound, NULL))) {
         node_on_message(shell->node, clock_monotonic_us(), message);
         shuntrun__envelope__free_unpacked(message, NULL);
     }
 }
 
-static void use_keys(struct node_shell *shell, const struct key_ring *keys)
+static void apply_keys(struct node_shell *shell, const struct key_ring *keys)
 {
     shell->keys = *keys;
     authenticator_set_keys(shell->authenticator, keys);
     link_listener_set_keys(shell->inbound, keys);
     links_set_keys(shell->links, keys);
     shell->callbacks.keys_changed(shell->callbacks.context, keys);
-    log_event(LOG_LEVEL_INFO, "links", "keys_changed", "use=%c", "ab"[keys->use]);
+    log_event(LOG_LEVEL_INFO, "links", "keys_changed", "use=%c", "ab"[keys->active_slot]);
 }
 
 /* A key file with errors changes nothing: the keys in use stay. */
-static void check_keys(struct node_shell *shell)
+static void reload_keys_if_changed(struct node_shell *shell)
 {
     const char *path = shell->settings->control_keys_file;
-    struct timespec changed = key_ring_changed_at(path);
+    struct timespec changed = key_ring_file_modified_at(path);
     struct findings findings = {0};
     struct key_ring keys;
     bool same = changed.tv_sec == shell->keys_changed_at.tv_sec &&
@@ -160,7 +161,7 @@
         return;
     shell->keys_changed_at = changed;
     if (key_ring_read(path, &keys, &findings) == STATUS_OK)
-        use_keys(shell, &keys);
+        apply_keys(shell, &keys);
     for (size_t i = 0; i < findings.count; i++)
         log_event(LOG_LEVEL_ERROR, "links", "keys_refused", "place=\"%s\" finding=\"%s\"",
                   findings.items[i].place, findings.items[i].text);
@@ -173,7 +174,7 @@
     uint64_t now = clock_monotonic_us();
     if (shell->settings->control_keys_file && now >= shell->next_key_check) {
         shell->next_key_check = now + KEY_CHECK_US;
-        check_keys(shell);
+        reload_keys_if_changed(shell);
     }
     node_on_tick(shell->node, now);
     metric_gauge_set(METRIC_LIVE_PEERS, node_alive_peers(shell->node, now));
@@ -220,7 +221,7 @@
     shell->zmq = zmq_ctx_new();
     shell->loop = loop_create();
     if (settings->control_keys_file)
-        shell->keys_changed_at = key_ring_changed_at(settings->control_keys_file);
+        shell->keys_changed_at = key_ring_file_modified_at(settings->control_keys_file);
     if (open_links(shell) != STATUS_OK) {
         authenticator_close(shell->authenticator);
         loop_destroy(shell->loop);
@@ -236,7 +237,7 @@
 
 void node_shell_close(struct node_shell *shell)
 {
-    loop_drain(shell->loop);
+    loop_run_posted(shell->loop);
     links_destroy(shell->links);
     link_listener_close(shell->inbound);
     authenticator_close(shell->authenticator);
--- a/src/net/status_page.c
+++ b/src/net/status_page.c
@@ -9,25 +9,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STANDSTILL_US (5 * MICROSECONDS_PER_SECOND)
+#define CONTROL_THREAD_STALL_US (5 * MICROSECONDS_PER_SECOND)
 
 struct status_page {
     pthread_mutex_t lock;
     char *status;
-    char *series;
+    char *extra_metrics;
     char *machines;
     char not_ready[160];
-    uint64_t published;
+    uint64_t published_at_us;
 };
 
 struct status_page *status_page_create(void)
 {
-    struct status_page *page = memory_zero(1, sizeof *page);
+    struct status_page *page = memory_calloc(1, sizeof *page);
     pthread_mutex_init(&page->lock, NULL);
-    page->series = memory_string("");
+    page->extra_metrics = memory_strdup("");
 
     strcpy(page->not_ready, "starting");
-    page->published = clock_monotonic_us();
+    page->published_at_us = clock_monotonic_us();
     return page;
 }
 
@@ -37,7 +37,7 @@
         return;
     pthread_mutex_destroy(&page->lock);
     free(page->status);
-    free(page->series);
+    free(page->extra_metrics);
     free(page->machines);
     free(page);
 }
@@ -50,17 +50,17 @@
     pthread_mutex_lock(&page->lock);
     char *old = page->status;
     page->status = text;
-    page->published = now;
+    page->published_at_us = now;
     snprintf(page->not_ready, sizeof page->not_ready, "%s", not_ready);
     pthread_mutex_unlock(&page->lock);
     free(old);
 }
 
-void status_page_set_series(struct status_page *page, char *text)
+void status_page_set_extra_metrics(struct status_page *page, char *text)
 {
     pthread_mutex_lock(&page->lock);
-    char *old = page->series;
-    page->series = text;
+    char *old = page->extra_metrics;
+    page->extra_metrics = text;
     pthread_mutex_unlock(&page->lock);
     free(old);
 }
@@ -79,13 +79,13 @@
 static void reply_metrics(struct status_page *page, struct http_exchange *exchange)
 {
     size_t size;
-    char *text = metrics_format(&size);
+    char *text = metrics_format_prometheus(&size);
     pthread_mutex_lock(&page->lock);
-    size_t more = strlen(page->series);
-    text = memory_resize(text, size + more);
-    memcpy(text + size, page->series, more);
+    size_t extra_size = strlen(page->extra_metrics);
+    text = memory_realloc(text, size + extra_size);
+    memcpy(text + size, page->extra_metrics, extra_size);
     pthread_mutex_unlock(&page->lock);
-    http_reply(exchange, 200, "text/plain; version=0.0.4", text, size + more, NULL);
+    http_reply(exchange, 200, "text/plain; version=0.0.4", text, size + extra_size, NULL);
     free(text);
 }
 
@@ -97,7 +97,7 @@
 static void reply_health(struct status_page *page, struct http_exchange *exchange)
 {
     pthread_mutex_lock(&page->lock);
-    bool alive = clock_monotonic_us() < page->published + STANDSTILL_US;
+    bool alive = clock_monotonic_us() < page->published_at_us + CONTROL_THREAD_STALL_US;
     pthread_mutex_unlock(&page->lock);
     reply_text(exchange, alive ? 200 : 503, alive ? "ok\n" : "the control thread stands still\n");
 }
@@ -116,7 +116,7 @@
                        char *const *content)
 {
     pthread_mutex_lock(&page->lock);
-    char *text = *content ? memory_string(*content) : NULL;
+    char *text = *content ? memory_strdup(*content) : NULL;
     pthread_mutex_unlock(&page->lock);
     if (!text) {
         reply_text(exchange, 503, "starting\n");
--- a/src/net/status_page.h
+++ b/src/net/status_page.h
@@ -26,7 +26,7 @@
 void status_page_set_machines(struct status_page *page, json_t *machines);
 
 /** \brief More series for /metrics, owned by the page from now on; from any thread. */
-void status_page_set_series(struct status_page *page, char *text);
+void status_page_set_extra_metrics(struct status_page *page, char *text);
 
 /** \return false when the path is none of these pages */
 bool status_page_handle(struct status_page *page, struct http_exchange *exchange,
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -9,12 +9,12 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define READ_SIZE 65536
+#define READ_BUFFER_SIZE 65536
 #define LISTEN_BACKLOG 1024
 /** Bytes unacknowledged for so long break a connection: the peer is dead or cut off. */
-#define UNACKNOWLEDGED_MS 4000
+#define USER_TIMEOUT_MS 4000
 /** Time that a closing connection gets to send what waits and to hear the peer's end. */
-#define LINGER_MS 2000
+#define LINGER_TIMEOUT_MS 2000
 
 struct tcp_stream {
     uv_tcp_t handle;
@@ -23,22 +23,22 @@
     uv_connect_t connect;
     uv_shutdown_t shutdown;
     uv_timer_t linger; /* started by tcp_stream_finish() */
-    uint32_t writes_waiting;
-    bool lingers;
+    uint32_t queued_writes;
+    bool linger_started;
     bool released; /* the owner has let go */
     bool closing;
-    bool up;
+    bool is_connected;
     bool resets_on_close;
 };
 
-struct waiting_write {
+struct queued_write {
     uv_write_t request;
     struct tcp_stream *stream;
     char bytes[];
 };
 
 /* One loop, one thread: every read passes through this buffer. */
-static char read_buffer[READ_SIZE];
+static char read_buffer[READ_BUFFER_SIZE];
 
 static void on_timer_closed(uv_handle_t *handle)
 {
@@ -48,7 +48,7 @@
 static void on_closed(uv_handle_t *handle)
 {
     struct tcp_stream *stream = handle->data;
-    if (stream->lingers)
+    if (stream->linger_started)
         uv_close((uv_handle_t *)&stream->linger, on_timer_closed);
     else
         free(stream);
@@ -71,7 +71,7 @@
  * libuv reports an end of file as soon as the socket hangs up after a short read, without looking
  * at why: a reset is taken for an orderly end. So the socket itself is asked.
  */
-static enum tcp_end true_end(struct tcp_stream *stream)
+static enum tcp_end socket_end(struct tcp_stream *stream)
 {
     uv_os_fd_t descriptor;
     char byte;
@@ -83,7 +83,7 @@
 
 static void on_read_end(struct tcp_stream *stream, bool end_of_file)
 {
-    enum tcp_end end = end_of_file ? true_end(stream) : TCP_END_RESET;
+    enum tcp_end end = end_of_file ? socket_end(stream) : TCP_END_RESET;
     stream->callbacks.ended(stream->context, end);
 }
 
@@ -103,7 +103,7 @@
 static void set_options(struct tcp_stream *stream)
 {
     uv_os_fd_t descriptor;
-    int milliseconds = UNACKNOWLEDGED_MS;
+    int milliseconds = USER_TIMEOUT_MS;
     uv_tcp_nodelay(&stream->handle, 1);
     if (uv_fileno((uv_handle_t *)&stream->handle, &descriptor) == 0)
         setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
@@ -125,7 +125,7 @@
 }
 
 /* Before a close that is meant: it is an orderly end. */
-static void keep_what_waits(struct tcp_stream *stream)
+static void clear_reset_on_close(struct tcp_stream *stream)
 {
     if (stream->resets_on_close && !stream->closing)
         set_reset_on_close(stream, false);
@@ -134,7 +134,7 @@
 static struct tcp_stream *stream_create(uv_loop_t *loop,
                                         const struct tcp_stream_callbacks *callbacks, void *context)
 {
-    struct tcp_stream *stream = memory_zero(1, sizeof *stream);
+    struct tcp_stream *stream = memory_calloc(1, sizeof *stream);
     stream->callbacks = *callbacks;
     stream->context = context;
     uv_tcp_init(loop, &stream->handle);
@@ -148,7 +148,7 @@
     if (stream->released)
         return;
     if (status == 0) {
-        stream->up = true;
+        stream->is_connected = true;
         set_options(stream);
         /* The kernel would go on sending a request after this process was killed: the back end got
          * it when it no longer wanted any, and nobody was left to take it back. */
@@ -182,7 +182,7 @@
         close_handle(stream);
         return NULL;
     }
-    stream->up = true;
+    stream->is_connected = true;
     set_options(stream);
     uv_read_start((uv_stream_t *)&stream->handle, on_allocate, on_read);
     return stream;
@@ -195,11 +195,11 @@
 
 static void on_written(uv_write_t *request, int status)
 {
-    struct waiting_write *write = (struct waiting_write *)request;
+    struct queued_write *write = (struct queued_write *)request;
     struct tcp_stream *stream = write->stream;
     free(write);
-    stream->writes_waiting--;
-    if (stream->released || stream->writes_waiting || status)
+    stream->queued_writes--;
+    if (stream->released || stream->queued_writes || status)
         return;
     if (stream->callbacks.drained)
         stream->callbacks.drained(stream->context);
@@ -210,7 +210,7 @@
     if (stream->closing || !size)
         return;
     const char *rest = bytes;
-    if (!stream->writes_waiting && stream->up) {
+    if (!stream->queued_writes && stream->is_connected) {
         uv_buf_t buffer = uv_buf_init((char *)rest, (unsigned)size);
         int sent = uv_try_write((uv_stream_t *)&stream->handle, &buffer, 1);
         if (sent > 0) {
@@ -220,25 +220,25 @@
         if (!size)
             return;
     }
-    struct waiting_write *write = memory_zero(1, sizeof *write + size);
+    struct queued_write *write = memory_calloc(1, sizeof *write + size);
     write->stream = stream;
     memcpy(write->bytes, rest, size);
     uv_buf_t buffer = uv_buf_init(write->bytes, (unsigned)size);
-    stream->writes_waiting++;
+    stream->queued_writes++;
     if (uv_write(&write->request, (uv_stream_t *)&stream->handle, &buffer, 1, on_written)) {
-        stream->writes_waiting--;
+        stream->queued_writes--;
         free(write);
     }
 }
 
-size_t tcp_stream_pending(const struct tcp_stream *stream)
+size_t tcp_stream_unsent_bytes(const struct tcp_stream *stream)
 {
     return uv_stream_get_write_queue_size((const uv_stream_t *)&stream->handle);
 }
 
 void tcp_stream_pause(struct tcp_stream *stream, bool pause)
 {
-    if (stream->closing || !stream->up)
+    if (stream->closing || !stream->is_connected)
         return;
     if (pause)
         uv_read_stop((uv_stream_t *)&stream->handle);
@@ -263,8 +263,8 @@
         return;
     stream->released = true;
     stream->shutdown.data = stream;
-    keep_what_waits(stream);
-    if (!stream->up ||
+    clear_reset_on_close(stream);
+    if (!stream->is_connected ||
         uv_shutdown(&stream->shutdown, (uv_stream_t *)&stream->handle, on_shutdown)) {
         close_handle(stream);
         return;
@@ -272,20 +272,20 @@
     uv_read_start((uv_stream_t *)&stream->handle, on_allocate, on_read);
     uv_timer_init(stream->handle.loop, &stream->linger);
     stream->linger.data = stream;
-    stream->lingers = true;
-    uv_timer_start(&stream->linger, on_linger, LINGER_MS, 0);
+    stream->linger_started = true;
+    uv_timer_start(&stream->linger, on_linger, LINGER_TIMEOUT_MS, 0);
 }
 
 void tcp_stream_close(struct tcp_stream *stream)
 {
     if (stream->released)
         return;
-    if (stream->up && stream->writes_waiting) {
+    if (stream->is_connected && stream->queued_writes) {
         tcp_stream_finish(stream);
         return;
     }
     stream->released = true;
-    keep_what_waits(stream);
+    clear_reset_on_close(stream);
     close_handle(stream);
 }
 
@@ -297,7 +297,7 @@
     if (stream->closing)
         return;
     stream->closing = true;
-    if (!stream->up || uv_tcp_close_reset(&stream->handle, on_closed))
+    if (!stream->is_connected || uv_tcp_close_reset(&stream->handle, on_closed))
         uv_close((uv_handle_t *)&stream->handle, on_closed);
 }
 
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -43,7 +43,7 @@
 /** \brief Send bytes; they are copied if they have to wait. */
 void tcp_stream_write(struct tcp_stream *stream, const void *bytes, size_t size);
 /** \return bytes that wait for the kernel */
-size_t tcp_stream_pending(const struct tcp_stream *stream);
+size_t tcp_stream_unsent_bytes(const struct tcp_stream *stream);
 /** \brief Stop or go on reading. */
 void tcp_stream_pause(struct tcp_stream *stream, bool pause);
 /** \brief Send what waits, then close. */
--- a/src/sim/event_queue.c
+++ b/src/sim/event_queue.c
@@ -17,7 +17,7 @@
 {
     if (queue->count == queue->capacity) {
         queue->capacity = queue->capacity ? 2 * queue->capacity : 1024;
-        queue->heap = memory_resize(queue->heap, queue->capacity * sizeof *queue->heap);
+        queue->heap = memory_realloc(queue->heap, queue->capacity * sizeof *queue->heap);
     }
     event.order = queue->pushed++;
     size_t at = queue->count++;
--- a/src/sim/fleet/backend.c
+++ b/src/sim/fleet/backend.c
@@ -16,7 +16,7 @@
 static void answer(struct world *world, const struct order *order, enum progress_kind kind,
                    uint64_t offset)
 {
-    struct progress *progress = memory_zero(1, sizeof *progress);
+    struct progress *progress = memory_calloc(1, sizeof *progress);
     *progress = (struct progress){order->run, kind, offset, order->attempt, order->version};
     world_push(world, LOCAL_DELAY_US, WORLD_BACKEND_ANSWER, order->process, 0, 0, progress);
 }
@@ -30,7 +30,7 @@
         return;
     }
     world_push(world, LOCAL_DELAY_US, WORLD_RUN, process->machine, 0, 0,
-               memory_copy(order, sizeof *order));
+               memory_duplicate(order, sizeof *order));
 }
 
 static bool fence_is_old(struct world *world, struct backend *backend, const struct order *order)
