--- a/src/sim/fleet/callers.c
+++ b/src/sim/fleet/callers.c
@@ -105,7 +105,7 @@
 {
     if (world->call_count == world->call_capacity) {
         world->call_capacity = world->call_capacity ? 2 * world->call_capacity : 256;
-        world->calls = memory_resize(world->calls, world->call_capacity * sizeof *world->calls);
+        world->calls = memory_realloc(world->calls, world->call_capacity * sizeof *world->calls);
     }
     uint32_t number = world->call_count++;
     struct call *call = &world->calls[number];
@@ -272,7 +272,7 @@
         const struct call *call = &world->calls[i];
         if (call->state != CALL_WAITING || call->gateway != process)
             continue;
-        struct news *news = memory_zero(1, sizeof *news);
+        struct news *news = memory_calloc(1, sizeof *news);
         news->kind = NEWS_CLOSED;
         news->attempt = call->attempt;
         callers_tell(&world->processes[process], caller_name(call->attempt, i), news);
--- a/src/sim/fleet/checker.c
+++ b/src/sim/fleet/checker.c
@@ -17,7 +17,7 @@
 void checker_init(struct checker *checker, uint32_t machine_count)
 {
     *checker = (struct checker){.machine_count = machine_count};
-    checker->revisions = memory_zero(machine_count, sizeof *checker->revisions);
+    checker->revisions = memory_calloc(machine_count, sizeof *checker->revisions);
 }
 
 void checker_clear(struct checker *checker)
@@ -47,7 +47,7 @@
 {
     uint64_t index = checker->request_count++;
     checker->requests =
-        memory_resize(checker->requests, checker->request_count * sizeof *checker->requests);
+        memory_realloc(checker->requests, checker->request_count * sizeof *checker->requests);
     checker->requests[index] = (struct checked_request){.unrepeatable = unrepeatable};
     return index;
 }
@@ -56,7 +56,7 @@
 {
     uint64_t index = checker->attempt_count++;
     checker->attempts =
-        memory_resize(checker->attempts, checker->attempt_count * sizeof *checker->attempts);
+        memory_realloc(checker->attempts, checker->attempt_count * sizeof *checker->attempts);
     checker->attempts[index] = (struct checked_attempt){.request = request};
     return index;
 }
--- a/src/sim/fleet/platform.c
+++ b/src/sim/fleet/platform.c
@@ -53,7 +53,7 @@
     va_start(arguments, format);
     int length = vsnprintf(part, sizeof part, format, arguments);
     va_end(arguments);
-    *text = memory_resize(*text, *size + (size_t)length + 1);
+    *text = memory_realloc(*text, *size + (size_t)length + 1);
     memcpy(*text + *size, part, (size_t)length + 1);
     *size += (size_t)length;
 }
@@ -145,7 +145,7 @@
 void platform_read(struct process *process, Shuntrun__DocumentKind kind, uint64_t known_revision)
 {
     struct world *world = process->world;
-    struct document_read *read = memory_zero(1, sizeof *read);
+    struct document_read *read = memory_calloc(1, sizeof *read);
     *read = (struct document_read){process->index, kind, known_revision, world->now + WATCH_US};
     count_call(world);
     world_push(world, PLATFORM_DELAY_US, WORLD_READ, 0, process->machine, 0, read);
@@ -154,7 +154,7 @@
 static void answer_read(struct world *world, const struct document_read *read,
                         enum node_read_result result, uint32_t revision, uint64_t delay)
 {
-    struct document_answer *answer = memory_zero(1, sizeof *answer);
+    struct document_answer *answer = memory_calloc(1, sizeof *answer);
     answer->kind = read->kind;
     answer->result = result;
     answer->revision = result == NODE_READ_NEWER ? revision : UINT64_MAX;
@@ -186,7 +186,7 @@
     } else if (world->now >= read->deadline) {
         answer_read(world, read, NODE_READ_CURRENT, 0, PLATFORM_DELAY_US);
     } else {
-        struct document_read *again = memory_copy(read, sizeof *read);
+        struct document_read *again = memory_duplicate(read, sizeof *read);
         world_push(world, POLL_US, WORLD_READ, 0, event->from, 0, again);
     }
 }
--- a/src/sim/fleet/processes.c
+++ b/src/sim/fleet/processes.c
@@ -95,7 +95,7 @@
     const struct fleet *fleet = node_fleet(process->node);
     uint32_t count;
     uint64_t *ids = routing_view_links(process->node, AGENT_SUBSET, &count);
-    ids = memory_resize(ids, (count + fleet->count) * sizeof *ids);
+    ids = memory_realloc(ids, (count + fleet->count) * sizeof *ids);
     for (uint32_t i = 0; i < fleet->count; i++)
         if (fleet->machines[i].role == MACHINE_GATEWAY &&
             fleet->machines[i].id != node_id(process->node))
@@ -182,7 +182,7 @@
 
 static struct news *make_news(uint64_t caller, enum news_kind kind)
 {
-    struct news *news = memory_zero(1, sizeof *news);
+    struct news *news = memory_calloc(1, sizeof *news);
     news->kind = kind;
     news->attempt = caller >> CALL_NUMBER_BITS;
     return news;
@@ -240,7 +240,7 @@
 {
     struct process *process = context;
     struct world *world = process->world;
-    struct order *order = memory_zero(1, sizeof *order);
+    struct order *order = memory_calloc(1, sizeof *order);
     uint64_t valid =
         message->remaining_us < SEND_WITHIN_US ? message->remaining_us : SEND_WITHIN_US;
     order->process = process->index;
--- a/src/sim/fleet/world.c
+++ b/src/sim/fleet/world.c
@@ -48,7 +48,7 @@
 struct packet *world_pack(const Shuntrun__Envelope *message)
 {
     size_t size = shuntrun__envelope__get_packed_size(message);
-    struct packet *packet = memory_zero(1, sizeof *packet + size);
+    struct packet *packet = memory_calloc(1, sizeof *packet + size);
     packet->size = size;
     shuntrun__envelope__pack(message, packet->bytes);
     return packet;
@@ -115,7 +115,7 @@
     if (world->now < world->shuffle_until) {
         delay += random_below(&world->network, SHUFFLE_JITTER_US);
         if (random_unit(&world->network) < DOUBLE_SHARE) {
-            struct packet *copy = memory_copy(packet, sizeof *packet + packet->size);
+            struct packet *copy = memory_duplicate(packet, sizeof *packet + packet->size);
             copy->doubled = true;
             uint64_t later = delay + random_below(&world->network, SHUFFLE_JITTER_US);
             world_push(world, later, type, to, from, 0, copy);
@@ -182,15 +182,15 @@
     world->nodes.seed = hash_pair(options->seed, 3);
     world->faults.seed = hash_pair(options->seed, 4);
     world->machine_count = options->gateways + options->engines + options->services;
-    world->machines = memory_zero(world->machine_count, sizeof *world->machines);
+    world->machines = memory_calloc(world->machine_count, sizeof *world->machines);
     world->process_capacity = MAX_PROCESSES;
-    world->processes = memory_zero(world->process_capacity, sizeof *world->processes);
+    world->processes = memory_calloc(world->process_capacity, sizeof *world->processes);
     world->model_version = 1;
     world->arrivals_end = (uint64_t)(options->seconds * SECOND) + FIRST_ARRIVAL_US;
     checker_init(&world->checker, world->machine_count);
     for (uint32_t i = 0; i < world->machine_count; i++)
         name_machine(world, i);
-    world->by_id = memory_zero(world->machine_count, sizeof *world->by_id);
+    world->by_id = memory_calloc(world->machine_count, sizeof *world->by_id);
     for (uint32_t i = 0; i < world->machine_count; i++)
         world->by_id[i] = &world->machines[i];
     qsort(world->by_id, world->machine_count, sizeof *world->by_id, compare_ids);
@@ -336,7 +336,7 @@
 
 struct fleet_sim_result fleet_simulate(const struct fleet_sim_options *options)
 {
-    struct world *world = memory_zero(1, sizeof *world);
+    struct world *world = memory_calloc(1, sizeof *world);
     create_world(world, options);
     world_schedule_faults(world);
     run(world);
--- a/src/sim/rollout/rollout_faults.c
+++ b/src/sim/rollout/rollout_faults.c
@@ -168,13 +168,13 @@
 static void *copy_payload(const struct event *event)
 {
     if (event->type == EVENT_REFUSE)
-        return memory_copy(event->payload, sizeof(struct refusal));
+        return memory_duplicate(event->payload, sizeof(struct refusal));
     if (event->type != EVENT_UPDATE)
         return NULL;
     const struct update_copy *update = event->payload;
     size_t size = sizeof *update + update->update.have_words * sizeof(uint64_t) +
                   update->update.new_count * sizeof(uint32_t);
-    struct update_copy *copy = memory_copy(update, size);
+    struct update_copy *copy = memory_duplicate(update, size);
     if (copy->update.have_all)
         copy->update.have_all = copy->words;
     copy->update.have_new = (uint32_t *)(copy->words + copy->update.have_words);
--- a/src/sim/rollout/rollout_machines.c
+++ b/src/sim/rollout/rollout_machines.c
@@ -129,7 +129,7 @@
     uint32_t to = find_machine(sim, peer)->index;
     size_t set_bytes = update->have_words * sizeof(uint64_t);
     size_t list_bytes = update->new_count * sizeof(uint32_t);
-    struct update_copy *copy = memory_zero(1, sizeof *copy + set_bytes + list_bytes);
+    struct update_copy *copy = memory_calloc(1, sizeof *copy + set_bytes + list_bytes);
     copy->update = *update;
     copy->incarnation = machine->incarnation;
     if (update->have_all) {
@@ -168,7 +168,7 @@
 {
     if (sim->plans[version])
         return sim->plans[version];
-    struct member *members = memory_zero(sim->options.machines, sizeof *members);
+    struct member *members = memory_calloc(sim->options.machines, sizeof *members);
     uint32_t count = 0;
     for (uint32_t i = 0; i < sim->options.machines; i++) {
         const struct machine_sim *machine = &sim->machines[i];
--- a/src/sim/rollout/rollout_sim.c
+++ b/src/sim/rollout/rollout_sim.c
@@ -81,12 +81,12 @@
 static void create_machines(struct rollout_sim *sim)
 {
     const struct rollout_options *options = &sim->options;
-    uint64_t *ids = memory_zero(options->machines, sizeof *ids);
+    uint64_t *ids = memory_calloc(options->machines, sizeof *ids);
     for (uint32_t i = 0; i < options->machines; i++)
         ids[i] = hash_pair(0x6d616368, i);
     ids_sort(ids, options->machines);
-    sim->machines = memory_zero(options->machines, sizeof *sim->machines);
-    sim->serve_times = memory_zero(options->machines + 1, sizeof *sim->serve_times);
+    sim->machines = memory_calloc(options->machines, sizeof *sim->machines);
+    sim->serve_times = memory_calloc(options->machines + 1, sizeof *sim->serve_times);
     for (uint32_t i = 0; i < options->machines; i++) {
         struct machine_sim *machine = &sim->machines[i];
         machine->sim = sim;
@@ -97,7 +97,7 @@
         machine->alive = true;
         machine->listed = true;
         machine->link.nanoseconds_per_byte = NANOSECOND / rollout_machine_rate(options);
-        machine->content = memory_zero(sim->chunk_count, sizeof *machine->content);
+        machine->content = memory_calloc(sim->chunk_count, sizeof *machine->content);
         rollout_sim_empty_content(machine);
     }
     free(ids);
--- a/src/sim/rollout/rollout_transfers.c
+++ b/src/sim/rollout/rollout_transfers.c
@@ -19,7 +19,7 @@
 static void refuse(struct rollout_sim *sim, uint32_t to, uint32_t from, uint32_t name,
                    enum swarm_failure failure, uint64_t retry_after_us)
 {
-    struct refusal *refusal = memory_zero(1, sizeof *refusal);
+    struct refusal *refusal = memory_calloc(1, sizeof *refusal);
     *refusal = (struct refusal){failure, retry_after_us};
     rollout_sim_push(sim, sim->now + rollout_sim_delay(sim, to, from), EVENT_REFUSE, to, from, name,
                      refusal);
--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -103,7 +103,7 @@
 static size_t append(char *data, size_t unit, size_t count, void *context)
 {
     struct buffer *buffer = context;
-    buffer->data = memory_resize(buffer->data, buffer->size + unit * count);
+    buffer->data = memory_realloc(buffer->data, buffer->size + unit * count);
     memcpy(buffer->data + buffer->size, data, unit * count);
     buffer->size += unit * count;
     return unit * count;
@@ -450,7 +450,7 @@
 {
     const char *offset = standin_header(request, "X-Offset");
     const char *priority = standin_header(request, "X-Priority");
-    struct stream *stream = memory_zero(1, sizeof *stream);
+    struct stream *stream = memory_calloc(1, sizeof *stream);
     size_t length = strlen(prompt);
     uint64_t prefix = hash_bytes(prompt, length < PREFIX_BYTES ? length : PREFIX_BYTES);
     stream->engine = engine;
--- a/src/standin/link.c
+++ b/src/standin/link.c
@@ -52,7 +52,7 @@
 
 static void relay_bytes(int client, int server)
 {
-    char *buffer = memory_zero(BUFFER_SIZE, 1);
+    char *buffer = memory_calloc(BUFFER_SIZE, 1);
     struct pollfd descriptors[2] = {{client, POLLIN, 0}, {server, POLLIN, 0}};
     bool open = true;
     while (open && !ck_pr_load_32(&cut)) {
@@ -86,7 +86,7 @@
 static void accept_one(int listener, const struct sockaddr_in *target)
 {
     pthread_t thread;
-    struct relay *relay = memory_zero(1, sizeof *relay);
+    struct relay *relay = memory_calloc(1, sizeof *relay);
     relay->target = *target;
     relay->client = accept(listener, NULL, NULL);
     if (relay->client < 0 || ck_pr_load_32(&cut) ||
--- a/src/standin/origin.c
+++ b/src/standin/origin.c
@@ -141,7 +141,7 @@
         reply->headers[0][1] = "0.1";
         return;
     }
-    struct reading *reading = memory_zero(1, sizeof *reading);
+    struct reading *reading = memory_calloc(1, sizeof *reading);
     reading->origin = origin;
     reading->blob = blob;
     reading->manifest = blob->data[0] == '{';
@@ -160,14 +160,15 @@
     struct digest digest = digest_of(data, size);
     if (find_blob(origin, &digest) || origin->blob_count == MAX_BLOBS)
         return digest;
-    origin->blobs[origin->blob_count++] = (struct stored){digest, memory_copy(data, size), size};
+    origin->blobs[origin->blob_count++] =
+        (struct stored){digest, memory_duplicate(data, size), size};
     return digest;
 }
 
 static struct digest make_chunk(struct origin *origin, uint64_t seed, uint64_t index, size_t size)
 {
     struct random_stream random = {.seed = seed * 1000003 + index};
-    uint8_t *data = memory_zero(size + 8, 1);
+    uint8_t *data = memory_calloc(size + 8, 1);
     for (size_t i = 0; i < size; i += 8) {
         uint64_t word = random_next(&random);
         memcpy(data + i, &word, sizeof word);
@@ -262,7 +263,7 @@
         {NULL, NULL, NULL}};
     struct standin_options options;
     standin_parse(argc, argv, "Stand-in of the origin of weights.", &options, own);
-    origin.blobs = memory_zero(MAX_BLOBS, sizeof *origin.blobs);
+    origin.blobs = memory_calloc(MAX_BLOBS, sizeof *origin.blobs);
     origin.readers = json_object();
     return standin_serve(&options, handle, &origin);
 }
--- a/src/standin/standin.c
+++ b/src/standin/standin.c
@@ -190,7 +190,7 @@
 {
     if (!reply->read)
         return MHD_create_response_from_buffer(reply->size, reply->body, MHD_RESPMEM_MUST_FREE);
-    struct stream *stream = memory_zero(1, sizeof *stream);
+    struct stream *stream = memory_calloc(1, sizeof *stream);
     stream->reply = *reply;
     return MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 65536, read_stream, stream,
                                              end_stream);
@@ -217,11 +217,11 @@
     struct server *server = context;
     struct upload *upload = *state;
     if (!upload) {
-        *state = memory_zero(1, sizeof *upload);
+        *state = memory_calloc(1, sizeof *upload);
         return MHD_YES;
     }
     if (*size) {
-        upload->body = memory_resize(upload->body, upload->size + *size);
+        upload->body = memory_realloc(upload->body, upload->size + *size);
         memcpy(upload->body + upload->size, data, *size);
         upload->size += *size;
         *size = 0;
--- a/src/standin/values.c
+++ b/src/standin/values.c
@@ -53,7 +53,7 @@
             return (int)i;
     if (!create || values->key_count == MAX_KEYS)
         return -1;
-    struct value *value = memory_zero(1, sizeof *value);
+    struct value *value = memory_calloc(1, sizeof *value);
     snprintf(value->key, sizeof value->key, "%s", key);
     values->keys[values->key_count] = value;
     return (int)values->key_count++;
@@ -143,7 +143,7 @@
     }
     struct value *value = values->keys[key];
     struct version *version = &value->versions[value->count++];
-    version->text = memory_copy(request->body, request->size);
+    version->text = memory_duplicate(request->body, request->size);
     version->size = request->size;
     version->visible_at = standin_now_us() + values->lag_ms * 1000;
     standin_json(reply, 200, json_pack("{s:i}", "revision", value->count));
--- a/src/tool/answer_check.c
+++ b/src/tool/answer_check.c
@@ -69,7 +69,7 @@
     uint32_t tokens = 0;
     if (check->line_size + size > MAX_LINE)
         return 0;
-    check->line = memory_resize(check->line, check->line_size + size);
+    check->line = memory_realloc(check->line, check->line_size + size);
     memcpy(check->line + check->line_size, data, size);
     check->line_size += size;
     size_t start = 0;
--- a/src/tool/burn.c
+++ b/src/tool/burn.c
@@ -178,7 +178,7 @@
     struct burn_objective burn = {.objective = *objective};
     size_t count = json_array_size(samples);
     double first = json_number_value(json_object_get(json_array_get(samples, 0), "time_ms"));
-    burn.steps = memory_zero(count, sizeof *burn.steps);
+    burn.steps = memory_calloc(count, sizeof *burn.steps);
     for (size_t i = 1; i < count; i++) {
         const json_t *after = json_array_get(samples, i);
         struct burn_step step = step_between(json_array_get(samples, i - 1), after, objective);
--- a/src/tool/check.c
+++ b/src/tool/check.c
@@ -32,7 +32,7 @@
 /* A machine to try a policy out on when no list is given. */
 static struct fleet sample_fleet(void)
 {
-    struct fleet fleet = {memory_zero(1, sizeof *fleet.machines), 1};
+    struct fleet fleet = {memory_calloc(1, sizeof *fleet.machines), 1};
     struct machine *machine = &fleet.machines[0];
     strcpy(machine->name, "sample");
     strcpy(machine->zone, "zone");
--- a/src/tool/explain.c
+++ b/src/tool/explain.c
@@ -90,7 +90,7 @@
 static char *copy_field(const struct log_line *line, const char *name)
 {
     const struct log_field *field = field_of(line, name);
-    char *copy = memory_zero(field ? field->value_length + 1 : 1, 1);
+    char *copy = memory_calloc(field ? field->value_length + 1 : 1, 1);
     if (field)
         memcpy(copy, field->value, field->value_length);
     return copy;
@@ -108,7 +108,7 @@
 {
     if ((list->count & (list->count + 1)) == 0)
         list->lines =
-            memory_resize(list->lines, (2 * (size_t)list->count + 2) * sizeof *list->lines);
+            memory_realloc(list->lines, (2 * (size_t)list->count + 2) * sizeof *list->lines);
     list->lines[list->count++] = *line;
 }
 
--- a/src/tool/load.c
+++ b/src/tool/load.c
@@ -294,7 +294,7 @@
 
 static void arrive(struct load *load, uint64_t arrival)
 {
-    struct load_call *call = memory_zero(1, sizeof *call);
+    struct load_call *call = memory_calloc(1, sizeof *call);
     call->side = &load->sides[random_below(&load->random, load->side_count)];
     call->side->requests++;
     call->number = load->number++;
@@ -389,7 +389,7 @@
 
 static void split_gateways(struct gateway_list *list, const char *text)
 {
-    char *copy = memory_string(text);
+    char *copy = memory_strdup(text);
     char *state;
     for (char *item = strtok_r(copy, ",", &state); item; item = strtok_r(NULL, ",", &state))
         if (list->count < MAX_GATEWAYS)
@@ -399,7 +399,7 @@
 
 static void split_tenants(struct load_options *options, const char *text)
 {
-    char *copy = memory_string(text);
+    char *copy = memory_strdup(text);
     char *state;
     double sum = 0;
     for (char *item = strtok_r(copy, ",", &state); item; item = strtok_r(NULL, ",", &state)) {
@@ -480,7 +480,7 @@
                      (double)histogram_quantile(histogram, 0.5) / 1000, "p95",
                      (double)histogram_quantile(histogram, 0.95) / 1000, "p99",
                      (double)histogram_quantile(histogram, 0.99) / 1000, "max",
-                     (double)histogram->greatest / 1000);
+                     (double)histogram->maximum / 1000);
 }
 
 static json_t *describe_verdicts(const uint64_t verdicts[ANSWER_VERDICTS])
@@ -554,7 +554,7 @@
         "mixed; 2 for wrong usage; 3 when no gateway told an address. With --against, one object "
         "for "
         "each system and the ratios between them.";
-    struct load *load = memory_zero(1, sizeof *load);
+    struct load *load = memory_calloc(1, sizeof *load);
     load->options = (struct load_options){
         .rate = 20, .seconds = 10, .seed = 1, .tokens = 32, .timeout_ms = 30000};
     struct argp argp = {option_list, parse_option, NULL, doc, NULL, NULL, NULL};
--- a/src/tool/report.c
+++ b/src/tool/report.c
@@ -88,7 +88,7 @@
         return NULL;
     }
     json_t *samples = json_array();
-    char *line = memory_zero(MAX_LINE, 1);
+    char *line = memory_calloc(MAX_LINE, 1);
     for (int number = 1; samples && fgets(line, MAX_LINE, stream); number++) {
         json_t *sample = json_loads(line, 0, NULL);
         if (json_is_object(json_object_get(sample, "nodes"))) {
@@ -159,7 +159,7 @@
 static void report(const struct report_options *options, const struct fleet_config *config,
                    const json_t *samples)
 {
-    struct burn_objective *burns = memory_zero(config->objective_count, sizeof *burns);
+    struct burn_objective *burns = memory_calloc(config->objective_count, sizeof *burns);
     for (uint32_t i = 0; i < config->objective_count; i++)
         burns[i] =
             burn_compute(&config->objectives[i], samples, options->windows, options->window_count);
--- a/src/tool/status.c
+++ b/src/tool/status.c
@@ -48,7 +48,7 @@
         if (strcmp(list->items[i].model, model) == 0 &&
             strcmp(list->items[i].version, version) == 0 && strcmp(list->items[i].zone, zone) == 0)
             return &list->items[i];
-    list->items = memory_resize(list->items, (list->count + 1) * sizeof *list->items);
+    list->items = memory_realloc(list->items, (list->count + 1) * sizeof *list->items);
     struct progress *progress = &list->items[list->count++];
     *progress = (struct progress){0};
     snprintf(progress->model, sizeof progress->model, "%s", model);
--- a/src/tool/tool.c
+++ b/src/tool/tool.c
@@ -17,10 +17,10 @@
         return status_fail(STATUS_IO, "%s", strerror(errno));
     char buffer[65536];
     size_t got;
-    *text = memory_string("");
+    *text = memory_strdup("");
     *size = 0;
     while ((got = fread(buffer, 1, sizeof buffer, stream)) > 0) {
-        *text = memory_resize(*text, *size + got + 1);
+        *text = memory_realloc(*text, *size + got + 1);
         memcpy(*text + *size, buffer, got);
         *size += got;
         (*text)[*size] = 0;
@@ -37,7 +37,7 @@
 static size_t append(char *data, size_t unit, size_t count, void *context)
 {
     struct buffer *buffer = context;
-    buffer->data = memory_resize(buffer->data, buffer->size + unit * count + 1);
+    buffer->data = memory_realloc(buffer->data, buffer->size + unit * count + 1);
     memcpy(buffer->data + buffer->size, data, unit * count);
     buffer->size += unit * count;
     buffer->data[buffer->size] = 0;
@@ -49,7 +49,7 @@
 {
     char url[512];
     long status = 0;
-    struct buffer buffer = {memory_string(""), 0};
+    struct buffer buffer = {memory_strdup(""), 0};
     CURL *easy = curl_easy_init();
     snprintf(url, sizeof url, "http://%s%s", address, path);
     curl_easy_setopt(easy, CURLOPT_URL, url);
--- a/src/weights/piece_fetch.c
+++ b/src/weights/piece_fetch.c
@@ -69,14 +69,15 @@
 /* --- manifest ------------------------------------------------------------------------------------
  */
 
-static void on_manifest(void *context, enum call_result result, const struct http_message *message)
+static void on_manifest(void *context, enum http_call_result result,
+                        const struct http_message *message)
 {
     struct piece_lane *lane = context;
     struct piece_fetch *fetch = lane->owner;
     uint64_t now = cluster_now();
     lane->busy = false;
     fetch->manifest_asked = false;
-    unsigned status = result == CALL_ANSWERED ? http_message_status(message) : 0;
+    unsigned status = result == CALL_COMPLETE ? http_message_status(message) : 0;
     if (status != 200) {
         if (status == STATUS_NOT_IN_TIME)
             on_not_in_time(lane, now);
@@ -119,12 +120,12 @@
         piece_wire_write_manifest(piece_set_model(fetch->set), piece_set_version(fetch->set),
                                   &target);
     }
-    struct caller_request request = {.method = "GET",
-                                     .target = target.data,
-                                     .timeout_ms = CALL_TIMEOUT_MS,
-                                     .body_limit = MANIFEST_LIMIT,
-                                     .done = on_manifest,
-                                     .context = lane};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target.data,
+                                          .timeout_ms = CALL_TIMEOUT_MS,
+                                          .body_limit = MANIFEST_LIMIT,
+                                          .done = on_manifest,
+                                          .context = lane};
     lane->busy = true;
     lane->asked_at = now;
     fetch->manifest_asked = true;
@@ -175,13 +176,14 @@
     fetch->callbacks.piece_held(fetch->callbacks.context, piece);
 }
 
-static void on_piece(void *context, enum call_result result, const struct http_message *message)
+static void on_piece(void *context, enum http_call_result result,
+                     const struct http_message *message)
 {
     struct piece_lane *lane = context;
     uint64_t now = cluster_now();
     lane->busy = false;
-    if (result != CALL_ANSWERED)
-        fail_lane(lane, call_result_name(result), now);
+    if (result != CALL_COMPLETE)
+        fail_lane(lane, http_call_result_name(result), now);
     else if (http_message_status(message) == STATUS_NOT_IN_TIME)
         on_not_in_time(lane, now);
     else if (http_message_status(message) != 200)
@@ -232,12 +234,12 @@
         piece_wire_write_piece(piece_set_model(fetch->set), piece_set_version(fetch->set), wanted,
                                count, &target);
     }
-    struct caller_request request = {.method = "GET",
-                                     .target = target.data,
-                                     .timeout_ms = CALL_TIMEOUT_MS,
-                                     .body_limit = PIECE_LIMIT,
-                                     .done = on_piece,
-                                     .context = lane};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target.data,
+                                          .timeout_ms = CALL_TIMEOUT_MS,
+                                          .body_limit = PIECE_LIMIT,
+                                          .done = on_piece,
+                                          .context = lane};
     lane->busy = true;
     lane->asked_at = now;
     http_caller_send(lane->caller, &request);
@@ -273,7 +275,7 @@
                                        enum piece_role role,
                                        const struct piece_fetch_callbacks *callbacks)
 {
-    struct piece_fetch *fetch = memory_zero(1, sizeof *fetch);
+    struct piece_fetch *fetch = memory_calloc(1, sizeof *fetch);
     fetch->set = set;
     fetch->callbacks = *callbacks;
     fetch->sources = piece_sources_create(cluster, set, role, fetch);
--- a/src/weights/piece_server.c
+++ b/src/weights/piece_server.c
@@ -37,7 +37,7 @@
 struct piece_server *piece_server_create(uv_loop_t *loop, const struct piece_set *set,
                                          double bits_per_us, uint64_t wait_us)
 {
-    struct piece_server *server = memory_zero(1, sizeof *server);
+    struct piece_server *server = memory_calloc(1, sizeof *server);
     server->set = set;
     server->bits_per_us = bits_per_us;
     server->wait_us = wait_us;
@@ -109,7 +109,7 @@
 {
     for (uint32_t i = 0; i < server->count;) {
         struct service_call *call = server->waiting[i].call;
-        if (!service_call_is_gone(call)) {
+        if (!service_call_is_disconnected(call)) {
             i++;
             continue;
         }
@@ -155,7 +155,8 @@
         service_reply(call, STATUS_BUSY, NULL, NULL, 0);
         return;
     }
-    server->waiting = memory_resize(server->waiting, (server->count + 1) * sizeof *server->waiting);
+    server->waiting =
+        memory_realloc(server->waiting, (server->count + 1) * sizeof *server->waiting);
     server->waiting[server->count++] = (struct waiting_call){call, *wanted, now + server->wait_us};
     piece_server_advance(server, now);
     if (!server->wait_us)
--- a/src/weights/piece_set.c
+++ b/src/weights/piece_set.c
@@ -25,7 +25,7 @@
 
 struct piece_set *piece_set_create(const char *model, uint64_t version)
 {
-    struct piece_set *set = memory_zero(1, sizeof *set);
+    struct piece_set *set = memory_calloc(1, sizeof *set);
     snprintf(set->model, sizeof set->model, "%s", model);
     set->version = version;
     set->rollout = hash_pair(hash_name(model), version);
@@ -72,9 +72,9 @@
         return status;
     }
     set->manifest = manifest;
-    set->manifest_body = memory_copy(body, size);
+    set->manifest_body = memory_duplicate(body, size);
     set->manifest_size = size;
-    set->pieces = memory_zero(manifest.count, sizeof *set->pieces);
+    set->pieces = memory_calloc(manifest.count, sizeof *set->pieces);
     return STATUS_OK;
 }
 
@@ -113,7 +113,7 @@
     struct piece *place = &set->pieces[*piece];
     if (place->data)
         return PIECE_KNOWN;
-    place->data = memory_copy(bytes, size);
+    place->data = memory_duplicate(bytes, size);
     place->size = size;
     set->held++;
     metric_add(METRIC_CHUNK_BYTES, size);
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -48,7 +48,7 @@
 struct piece_sources *piece_sources_create(struct cluster *cluster, const struct piece_set *set,
                                            enum piece_role role, void *owner)
 {
-    struct piece_sources *sources = memory_zero(1, sizeof *sources);
+    struct piece_sources *sources = memory_calloc(1, sizeof *sources);
     sources->cluster = cluster;
     sources->set = set;
     sources->role = role;
@@ -87,10 +87,10 @@
     for (uint32_t i = 0; i < sources->count; i++)
         if (sources->items[i]->address == address)
             return sources->items[i];
-    struct piece_source *source = memory_zero(1, sizeof *source);
+    struct piece_source *source = memory_calloc(1, sizeof *source);
     source->address = address;
     sources->items =
-        memory_resize(sources->items, (sources->count + 1) * sizeof(struct piece_source *));
+        memory_realloc(sources->items, (sources->count + 1) * sizeof(struct piece_source *));
     sources->items[sources->count++] = source;
     return source;
 }
@@ -104,7 +104,7 @@
     struct sockaddr_in address = source->address == RELAY_ORIGIN
                                      ? sources->origin
                                      : cluster_address(sources->cluster, source->address);
-    lane = memory_zero(1, sizeof *lane);
+    lane = memory_calloc(1, sizeof *lane);
     lane->owner = sources->owner;
     lane->source = source;
     lane->index = index;
@@ -143,7 +143,7 @@
     bool relays = sources->role == PIECE_ROLE_RELAY;
     sources->list_count = relays && manifest ? manifest->count : 1;
     sources->lists_name_origin = silent_us > ORIGIN_AFTER_US;
-    sources->lists = memory_resize(sources->lists, sources->list_count * sizeof *sources->lists);
+    sources->lists = memory_realloc(sources->lists, sources->list_count * sizeof *sources->lists);
     for (uint32_t i = 0; relays && i < sources->list_count; i++)
         relay_plan_relay_sources(&sources->plan, i, &sources->lists[i]);
     if (relays)
@@ -219,7 +219,7 @@
     bool is_silent = lane->busy && now > lane->asked_at + FIRST_BYTE_US &&
                      !http_caller_is_receiving(lane->caller);
     if (lane->source->address == RELAY_ORIGIN)
-        http_caller_rest(lane->caller, ORIGIN_IDLE_US);
+        http_caller_close_idle(lane->caller, ORIGIN_IDLE_US);
     else if (is_silent)
         http_caller_abort(lane->caller);
 }
--- a/src/weights/weight_relay.c
+++ b/src/weights/weight_relay.c
@@ -38,7 +38,7 @@
 
 struct weight_relay *weight_relay_create(struct cluster *cluster)
 {
-    struct weight_relay *relay = memory_zero(1, sizeof *relay);
+    struct weight_relay *relay = memory_calloc(1, sizeof *relay);
     relay->cluster = cluster;
     return relay;
 }
@@ -90,7 +90,7 @@
 static struct relayed_version *add(struct weight_relay *relay, const char *model, uint64_t number)
 {
     make_room(relay);
-    struct relayed_version *version = memory_zero(1, sizeof *version);
+    struct relayed_version *version = memory_calloc(1, sizeof *version);
     struct piece_fetch_callbacks callbacks = {version, on_manifest_known, on_piece_held};
     double link = strtod(relay->cluster->settings->link_mbit, NULL);
     version->set = piece_set_create(model, number);
--- a/tests/base/log_test.c
+++ b/tests/base/log_test.c
@@ -28,7 +28,7 @@
     close(reader);
 }
 
-static void a_kind_of_event_is_bounded_and_says_what_it_left_out(void **state)
+static void event_kind_is_rate_limited_and_drops_are_counted(void **state)
 {
     char text[65536];
     int kept;
@@ -48,7 +48,7 @@
     assert_true(log_dropped() - before >= EVENTS - 200);
 }
 
-static void a_pipe_that_nobody_reads_does_not_block(void **state)
+static void full_pipe_does_not_block_the_logger(void **state)
 {
     static const char *const kinds[] = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j",
                                         "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"};
@@ -69,8 +69,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_kind_of_event_is_bounded_and_says_what_it_left_out),
-        cmocka_unit_test(a_pipe_that_nobody_reads_does_not_block),
+        cmocka_unit_test(event_kind_is_rate_limited_and_drops_are_counted),
+        cmocka_unit_test(full_pipe_does_not_block_the_logger),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/base/metrics_test.c
+++ b/tests/base/metrics_test.c
@@ -32,7 +32,7 @@
 static void every_line_is_a_comment_or_a_sample(void **state)
 {
     size_t size;
-    char *text = metrics_format(&size);
+    char *text = metrics_format_prometheus(&size);
     assert_int_equal(text[size - 1], '\n');
     for (char *rest = text, *line = strsep(&rest, "\n"); line && *line; line = strsep(&rest, "\n"))
         assert_true(strncmp(line, "# HELP ", 7) == 0 || strncmp(line, "# TYPE ", 7) == 0 ||
@@ -40,13 +40,13 @@
     free(text);
 }
 
-static void buckets_rise_and_end_with_the_count(void **state)
+static void histogram_buckets_are_cumulative_and_end_with_the_count(void **state)
 {
     size_t size;
     metric_observe(METRIC_FIRST_EVENT, 900);
     metric_observe(METRIC_FIRST_EVENT, 90000);
     metric_observe(METRIC_FIRST_EVENT, 60000000);
-    char *text = metrics_format(&size);
+    char *text = metrics_format_prometheus(&size);
     assert_non_null(strstr(text, "shuntrun_first_event_seconds_bucket{le=\"0.001\"} 1\n"));
     assert_non_null(strstr(text, "shuntrun_first_event_seconds_bucket{le=\"0.1\"} 2\n"));
     assert_non_null(strstr(text, "shuntrun_first_event_seconds_bucket{le=\"6\"} 2\n"));
@@ -60,7 +60,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(every_line_is_a_comment_or_a_sample),
-        cmocka_unit_test(buckets_rise_and_end_with_the_count),
+        cmocka_unit_test(histogram_buckets_are_cumulative_and_end_with_the_count),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/base/settings_test.c
+++ b/tests/base/settings_test.c
@@ -16,7 +16,7 @@
     return false;
 }
 
-static void all_problems_are_reported_with_their_place(void **state)
+static void every_finding_names_its_place(void **state)
 {
     char file[] = "/tmp/settings_test_XXXXXX";
     int descriptor = mkstemp(file);
@@ -44,7 +44,7 @@
     settings_clear(&settings);
 }
 
-static void a_flag_goes_before_a_variable_before_the_default(void **state)
+static void flag_overrides_variable_overrides_default(void **state)
 {
     setenv("SHUNTRUN_NEIGHBOURS", "3", 1);
     setenv("SHUNTRUN_CONTROL_PORT", "7000", 1);
@@ -65,7 +65,7 @@
     settings_clear(&settings);
 }
 
-static void a_malformed_address_or_number_is_refused_by_name(void **state)
+static void malformed_address_or_number_is_reported_with_its_setting(void **state)
 {
     static char *arguments[] = {"edge",
                                 "--name=e",
@@ -91,7 +91,7 @@
     settings_clear(&settings);
 }
 
-static void only_what_is_missing_is_reported(void **state)
+static void only_missing_settings_are_reported(void **state)
 {
     static char *arguments[] = {"edge", "--name=", NULL};
     struct settings settings;
@@ -107,7 +107,7 @@
 }
 
 /* Of a deployment that is played at a share of its size: 654 requests / 19. */
-static void a_bound_may_be_a_fraction(void **state)
+static void bound_may_be_a_fraction(void **state)
 {
     char *arguments[] = {"edge", "--repeat-budget-allowance", "34.42", "--repeat-budget-window-s",
                          "9.5",  "--drain-bound-ms",          "soon",  NULL};
@@ -125,11 +125,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(all_problems_are_reported_with_their_place),
-        cmocka_unit_test(a_flag_goes_before_a_variable_before_the_default),
-        cmocka_unit_test(a_malformed_address_or_number_is_refused_by_name),
-        cmocka_unit_test(only_what_is_missing_is_reported),
-        cmocka_unit_test(a_bound_may_be_a_fraction),
+        cmocka_unit_test(every_finding_names_its_place),
+        cmocka_unit_test(flag_overrides_variable_overrides_default),
+        cmocka_unit_test(malformed_address_or_number_is_reported_with_its_setting),
+        cmocka_unit_test(only_missing_settings_are_reported),
+        cmocka_unit_test(bound_may_be_a_fraction),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/core/route_table_test.c
+++ b/tests/core/route_table_test.c
@@ -9,9 +9,9 @@
 static struct route route_of(struct route_table *table, const char *name, const char *host,
                              const char *prefix, const char *service)
 {
-    struct route route = {.name = memory_string(name),
-                          .host = memory_string(host),
-                          .prefix = memory_string(prefix),
+    struct route route = {.name = memory_strdup(name),
+                          .host = memory_strdup(host),
+                          .prefix = memory_strdup(prefix),
                           .target_count = 1};
     route.targets[0] = (struct route_target){route_table_add_service(table, service), 1};
     return route;
--- a/tests/core/weight_install_test.c
+++ b/tests/core/weight_install_test.c
@@ -90,8 +90,8 @@
 {
     struct sim first;
     *exploration = (struct exploration){.exhausted = true};
-    exploration->visits = memory_zero(STATES_MAX, sizeof *exploration->visits);
-    exploration->states = memory_zero(STATES_MAX, sizeof *exploration->states);
+    exploration->visits = memory_calloc(STATES_MAX, sizeof *exploration->visits);
+    exploration->states = memory_calloc(STATES_MAX, sizeof *exploration->states);
     assert_true(ck_ht_init(&exploration->visited, CK_HT_MODE_DIRECT, NULL, &table_memory,
                            2 * (uint64_t)STATES_MAX, 1));
     sim_init(&first, options);
--- a/tests/fuzz/fuzz_driver.c
+++ b/tests/fuzz/fuzz_driver.c
@@ -58,10 +58,11 @@
     for (unsigned long i = 0; i < runs; i++) {
         const char *start = fuzz_corpus[i % corpus];
         size_t size = strlen(start) < MAX_SIZE ? strlen(start) : MAX_SIZE;
-        uint8_t *data = memory_zero(MAX_SIZE + 1, 1);
+        uint8_t *data = memory_calloc(MAX_SIZE + 1, 1);
         memcpy(data, start, size);
         size = mutate(&random, data, size);
-        uint8_t *exact = memory_copy(data, size); /* so that a sanitizer sees reads past the end */
+        uint8_t *exact =
+            memory_duplicate(data, size); /* so that a sanitizer sees reads past the end */
         LLVMFuzzerTestOneInput(exact, size);
         free(exact);
         free(data);
--- a/tests/fuzz/fuzz_fleet.c
+++ b/tests/fuzz/fuzz_fleet.c
@@ -23,7 +23,7 @@
     struct manifest manifest;
     struct ticket ticket;
     struct digest digest = digest_of(data, size);
-    char *text = memory_zero(size + 1, 1);
+    char *text = memory_calloc(size + 1, 1);
     memcpy(text, data, size);
     if (fleet_parse(text, size, &fleet, &findings) == STATUS_OK)
         fleet_clear(&fleet);
--- a/tests/fuzz/fuzz_policy.c
+++ b/tests/fuzz/fuzz_policy.c
@@ -21,7 +21,7 @@
     struct model_config model = {.name = "m", .version = "v", .accelerators = 8};
     struct machine machine = {.name = "a", .zone = "z"};
     struct fleet_summary summary = {1, 1, 1};
-    char *program = memory_zero(size + 1, 1);
+    char *program = memory_calloc(size + 1, 1);
     memcpy(program, data, size);
     struct policy *policy = policy_create("p", program, &findings);
     if (policy) {
--- a/tests/net/free_port.h
+++ b/tests/net/free_port.h
@@ -12,7 +12,7 @@
 #include <unistd.h>
 
 /** \brief Find a port that was free a moment ago. */
-static inline void find_port(struct sockaddr_in *address)
+static inline void find_free_port(struct sockaddr_in *address)
 {
     socklen_t size = sizeof *address;
     int probe = socket(AF_INET, SOCK_STREAM, 0);
--- a/tests/net/http_message_test.c
+++ b/tests/net/http_message_test.c
@@ -17,12 +17,12 @@
     http_message_begin(&message, HTTP_MESSAGE_REQUEST);
     for (size_t place = 0; place < strlen(request); place += step) {
         size_t rest = strlen(request) - place;
-        result = http_message_feed(&message, request + place, rest < step ? rest : step, &used);
+        result = http_message_parse(&message, request + place, rest < step ? rest : step, &used);
     }
     assert_int_equal(result, HTTP_PARSE_DONE);
     assert_string_equal(http_message_method(&message), "POST");
     assert_memory_equal(message.text.data, "/a%2Fb/c?x=1%202&y=z", message.target_length);
-    assert_true(http_message_value(&message, "host", value, sizeof value));
+    assert_true(http_message_field_value(&message, "host", value, sizeof value));
     assert_string_equal(value, "h.example");
     assert_int_equal(message.body.size, 5);
     assert_true(http_query_value(message.text.data, message.target_length, "x", value, 64));
@@ -31,45 +31,45 @@
     http_message_clear(&message);
 }
 
-static void a_request_is_the_same_however_its_bytes_come(void **state)
+static void request_parses_the_same_for_any_fragmentation(void **state)
 {
     for (size_t step = 1; step <= strlen(request); step++)
         feed_request(step);
 }
 
-static void bytes_behind_a_message_are_not_a_part_of_it(void **state)
+static void bytes_after_a_message_are_not_consumed(void **state)
 {
     static const char two[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
     struct http_message message = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    assert_int_equal(http_message_feed(&message, two, strlen(two), &used), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_parse(&message, two, strlen(two), &used), HTTP_PARSE_DONE);
     assert_int_equal(used, strlen(two) - strlen("HTTP/1.1 200 OK\r\n"));
     assert_true(message.framed);
     http_message_clear(&message);
 }
 
-static void an_answer_without_length_ends_with_its_connection(void **state)
+static void response_without_length_ends_at_connection_close(void **state)
 {
     static const char answer[] = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nabc";
     struct http_message message = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    assert_int_equal(http_message_feed(&message, answer, strlen(answer), &used), HTTP_PARSE_MORE);
+    assert_int_equal(http_message_parse(&message, answer, strlen(answer), &used), HTTP_PARSE_MORE);
     assert_false(message.framed);
-    assert_int_equal(http_message_end(&message), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_end_of_input(&message), HTTP_PARSE_DONE);
     assert_int_equal(message.body.size, 3);
     http_message_clear(&message);
 }
 
-static void a_framed_answer_does_not_end_early(void **state)
+static void truncated_response_with_length_is_malformed(void **state)
 {
     static const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc";
     struct http_message message = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    assert_int_equal(http_message_feed(&message, answer, strlen(answer), &used), HTTP_PARSE_MORE);
-    assert_int_equal(http_message_end(&message), HTTP_PARSE_MALFORMED);
+    assert_int_equal(http_message_parse(&message, answer, strlen(answer), &used), HTTP_PARSE_MORE);
+    assert_int_equal(http_message_end_of_input(&message), HTTP_PARSE_MALFORMED);
     http_message_clear(&message);
 }
 
@@ -78,22 +78,23 @@
     struct http_message message = {.head_limit = head_limit, .body_limit = body_limit};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_REQUEST);
-    enum http_parse_result result = http_message_feed(&message, text, strlen(text), &used);
+    enum http_parse_result result = http_message_parse(&message, text, strlen(text), &used);
     http_message_clear(&message);
     return result;
 }
 
-static void limits_and_malformed_requests_are_told_apart(void **state)
+static void limits_and_malformed_requests_have_distinct_results(void **state)
 {
     assert_int_equal(result_of("GET / HTTP/1.1\r\nA: 0123456789\r\n\r\n", 20, 0),
-                     HTTP_PARSE_HEAD_SIZE);
-    assert_int_equal(result_of("GET / HTTP/1.1\r\nA: 0123456789", 20, 0), HTTP_PARSE_HEAD_SIZE);
+                     HTTP_PARSE_HEAD_TOO_LARGE);
+    assert_int_equal(result_of("GET / HTTP/1.1\r\nA: 0123456789", 20, 0),
+                     HTTP_PARSE_HEAD_TOO_LARGE);
     assert_int_equal(result_of("POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n", 0, 8),
-                     HTTP_PARSE_BODY_SIZE);
+                     HTTP_PARSE_BODY_TOO_LARGE);
     assert_int_equal(result_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
                                "9\r\n012345678\r\n0\r\n\r\n",
                                0, 8),
-                     HTTP_PARSE_BODY_SIZE);
+                     HTTP_PARSE_BODY_TOO_LARGE);
     assert_int_equal(result_of("no http at all\r\n\r\n", 0, 0), HTTP_PARSE_MALFORMED);
     /* Two lengths: what is behind could be smuggled. */
     assert_int_equal(
@@ -108,11 +109,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_request_is_the_same_however_its_bytes_come),
-        cmocka_unit_test(bytes_behind_a_message_are_not_a_part_of_it),
-        cmocka_unit_test(an_answer_without_length_ends_with_its_connection),
-        cmocka_unit_test(a_framed_answer_does_not_end_early),
-        cmocka_unit_test(limits_and_malformed_requests_are_told_apart),
+        cmocka_unit_test(request_parses_the_same_for_any_fragmentation),
+        cmocka_unit_test(bytes_after_a_message_are_not_consumed),
+        cmocka_unit_test(response_without_length_ends_at_connection_close),
+        cmocka_unit_test(truncated_response_with_length_is_malformed),
+        cmocka_unit_test(limits_and_malformed_requests_have_distinct_results),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/net/http_service_test.c
+++ b/tests/net/http_service_test.c
@@ -10,35 +10,36 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define IDLE_MS 40
+#define IDLE_TIMEOUT_MS 40
 
 struct server {
     uv_loop_t *loop;
     struct sockaddr_in address;
     struct http_service *service;
-    struct service_call *kept; /* a call whose answer is still due */
+    struct service_call *deferred_call; /* a call whose answer is still due */
 };
 
 static void on_call(void *context, struct service_call *call, const struct service_request *request)
 {
     struct server *server = context;
     if (service_path_is(request, "/later"))
-        server->kept = call;
+        server->deferred_call = call;
     else
         service_reply(call, 200, NULL, "now", 3);
 }
 
-static void server_open(struct server *server)
+static void start_server(struct server *server)
 {
-    static const struct http_service_limits limits = {.body_bytes = 100, .idle_ms = IDLE_MS};
+    static const struct http_service_limits limits = {.body_bytes = 100,
+                                                      .idle_timeout_ms = IDLE_TIMEOUT_MS};
     memset(server, 0, sizeof *server);
     server->loop = uv_default_loop();
-    find_port(&server->address);
+    find_free_port(&server->address);
     server->service = http_service_start(server->loop, &server->address, &limits, on_call, server);
     assert_non_null(server->service);
 }
 
-static int peer_connect(const struct server *server, const char *text)
+static int connect_peer(const struct server *server, const char *text)
 {
     int peer = socket(AF_INET, SOCK_STREAM, 0);
     assert_int_equal(
@@ -49,7 +50,7 @@
 }
 
 /* Runs the service until the peer has read something. \return bytes, 0: its end */
-static ssize_t await_read(struct server *server, int peer, char *bytes, size_t size)
+static ssize_t read_from_service(struct server *server, int peer, char *bytes, size_t size)
 {
     ssize_t count;
     while ((count = read(peer, bytes, size)) < 0)
@@ -57,38 +58,38 @@
     return count;
 }
 
-static void run_for(struct server *server, unsigned milliseconds)
+static void run_for_ms(struct server *server, unsigned milliseconds)
 {
     uint64_t end = uv_hrtime() + milliseconds * (uint64_t)1000000;
     while (uv_hrtime() < end)
         uv_run(server->loop, UV_RUN_NOWAIT);
 }
 
-static void a_silent_peer_is_closed(void **state)
+static void idle_connection_is_closed(void **state)
 {
     struct server server;
     char bytes[200];
-    server_open(&server);
-    int silent = peer_connect(&server, "");
-    int torn = peer_connect(&server, "GET /now HTTP/1.1\r\nHost: ");
-    int answered = peer_connect(&server, "GET /now HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_true(await_read(&server, answered, bytes, sizeof bytes) > 0);
-    assert_int_equal(await_read(&server, silent, bytes, sizeof bytes), 0);
-    assert_int_equal(await_read(&server, torn, bytes, sizeof bytes), 0);
-    assert_int_equal(await_read(&server, answered, bytes, sizeof bytes), 0);
+    start_server(&server);
+    int silent = connect_peer(&server, "");
+    int partial_head = connect_peer(&server, "GET /now HTTP/1.1\r\nHost: ");
+    int answered = connect_peer(&server, "GET /now HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_true(read_from_service(&server, answered, bytes, sizeof bytes) > 0);
+    assert_int_equal(read_from_service(&server, silent, bytes, sizeof bytes), 0);
+    assert_int_equal(read_from_service(&server, partial_head, bytes, sizeof bytes), 0);
+    assert_int_equal(read_from_service(&server, answered, bytes, sizeof bytes), 0);
 }
 
-static void a_peer_that_waits_for_its_answer_gets_it(void **state)
+static void connection_awaiting_a_reply_is_not_idle(void **state)
 {
     struct server server;
     char bytes[200];
-    server_open(&server);
-    int peer = peer_connect(&server, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n");
-    while (!server.kept)
+    start_server(&server);
+    int peer = connect_peer(&server, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n");
+    while (!server.deferred_call)
         uv_run(server.loop, UV_RUN_NOWAIT);
-    run_for(&server, 4 * IDLE_MS);
-    service_reply(server.kept, 200, NULL, "later", 5);
-    ssize_t count = await_read(&server, peer, bytes, sizeof bytes);
+    run_for_ms(&server, 4 * IDLE_TIMEOUT_MS);
+    service_reply(server.deferred_call, 200, NULL, "later", 5);
+    ssize_t count = read_from_service(&server, peer, bytes, sizeof bytes);
     assert_true(count > 5);
     assert_memory_equal(bytes + count - 5, "later", 5);
 }
@@ -96,8 +97,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_silent_peer_is_closed),
-        cmocka_unit_test(a_peer_that_waits_for_its_answer_gets_it),
+        cmocka_unit_test(idle_connection_is_closed),
+        cmocka_unit_test(connection_awaiting_a_reply_is_not_idle),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/net/key_ring_test.c
+++ b/tests/net/key_ring_test.c
@@ -19,7 +19,7 @@
     return status;
 }
 
-static void both_slots_are_known_and_one_is_used(void **state)
+static void both_slots_are_accepted_and_one_is_active(void **state)
 {
     char keys[4][KEY_TEXT_SIZE];
     char text[512];
@@ -30,13 +30,13 @@
     snprintf(text, sizeof text, "# fleet\na %s %s\nb %s %s\nuse b\n", keys[0], keys[1], keys[2],
              keys[3]);
     assert_int_equal(read_text(text, &ring, &findings), STATUS_OK);
-    assert_int_equal(ring.use, 1);
-    assert_true(key_ring_knows(&ring, keys[0]));
-    assert_true(key_ring_knows(&ring, keys[2]));
-    assert_false(key_ring_knows(&ring, keys[1]));
+    assert_int_equal(ring.active_slot, 1);
+    assert_true(key_ring_contains(&ring, keys[0]));
+    assert_true(key_ring_contains(&ring, keys[2]));
+    assert_false(key_ring_contains(&ring, keys[1]));
 }
 
-static void findings_name_lines_and_never_keys(void **state)
+static void findings_give_lines_and_never_keys(void **state)
 {
     char keys[4][KEY_TEXT_SIZE];
     char text[512];
@@ -57,8 +57,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(both_slots_are_known_and_one_is_used),
-        cmocka_unit_test(findings_name_lines_and_never_keys),
+        cmocka_unit_test(both_slots_are_accepted_and_one_is_active),
+        cmocka_unit_test(findings_give_lines_and_never_keys),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/net/tcp_stream_test.c
+++ b/tests/net/tcp_stream_test.c
@@ -76,7 +76,7 @@
     return peer.end;
 }
 
-static void a_reset_is_told_from_an_end(void **state)
+static void reset_is_distinguished_from_orderly_close(void **state)
 {
     assert_int_equal(end_after(false), TCP_END_ORDERLY);
     assert_int_equal(end_after(true), TCP_END_RESET);
@@ -91,28 +91,30 @@
     int answers;
 };
 
-static void on_second(void *context, enum call_result result, const struct http_message *message)
+static void on_second(void *context, enum http_call_result result,
+                      const struct http_message *message)
 {
     struct calls *calls = context;
-    assert_int_equal(result, CALL_ANSWERED);
+    assert_int_equal(result, CALL_COMPLETE);
     calls->answers++;
 }
 
-static void send_call(struct calls *calls, call_done *done)
+static void send_call(struct calls *calls, http_call_done *done)
 {
-    struct caller_request request = {.method = "GET",
-                                     .target = "/",
-                                     .timeout_ms = 5000,
-                                     .body_limit = 100,
-                                     .done = done,
-                                     .context = calls};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = "/",
+                                          .timeout_ms = 5000,
+                                          .body_limit = 100,
+                                          .done = done,
+                                          .context = calls};
     http_caller_send(calls->caller, &request);
 }
 
-static void on_first(void *context, enum call_result result, const struct http_message *message)
+static void on_first(void *context, enum http_call_result result,
+                     const struct http_message *message)
 {
     struct calls *calls = context;
-    assert_int_equal(result, CALL_ANSWERED);
+    assert_int_equal(result, CALL_COMPLETE);
     send_call(calls, on_second);
     /* The answer is still whole: the next call has not begun to overwrite it. */
     assert_int_equal(message->body.size, 4);
@@ -120,7 +122,7 @@
     calls->answers++;
 }
 
-static void an_answer_lasts_for_its_callback(void **state)
+static void response_stays_valid_during_its_callback(void **state)
 {
     struct peer peer;
     struct calls calls = {0};
@@ -150,8 +152,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_reset_is_told_from_an_end),
-        cmocka_unit_test(an_answer_lasts_for_its_callback),
+        cmocka_unit_test(reset_is_distinguished_from_orderly_close),
+        cmocka_unit_test(response_stays_valid_during_its_callback),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -96,7 +96,7 @@
     size_t used;
     memset(message, 0, sizeof *message);
     http_message_begin(message, HTTP_MESSAGE_REQUEST);
-    assert_int_equal(http_message_feed(message, text, strlen(text), &used), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_parse(message, text, strlen(text), &used), HTTP_PARSE_DONE);
 }
 
 static bool contains(const struct buffer *bytes, const char *text)
@@ -193,7 +193,7 @@
     struct buffer bytes = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    http_message_feed(&message, text, strlen(text), &used);
+    http_message_parse(&message, text, strlen(text), &used);
     platform_read_answer(&message, &head);
     assert_true(head.facts.not_executed);
     assert_false(head.facts.sealed);
@@ -217,7 +217,7 @@
     size_t used;
     snprintf(text, sizeof text, "HTTP/1.1 %s\r\n%sContent-Length: 0\r\n\r\n", status, fields);
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    assert_int_equal(http_message_feed(&message, text, strlen(text), &used), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_parse(&message, text, strlen(text), &used), HTTP_PARSE_DONE);
     platform_read_answer(&message, &head);
     http_message_clear(&message);
     return head;
--- a/tests/weights/piece_server_test.c
+++ b/tests/weights/piece_server_test.c
@@ -128,10 +128,11 @@
     piece_server_take(fixture->server, call, &wanted, clock_monotonic_us());
 }
 
-static void on_answer(void *context, enum call_result result, const struct http_message *message)
+static void on_answer(void *context, enum http_call_result result,
+                      const struct http_message *message)
 {
     struct exchange_fixture *fixture = context;
-    assert_int_equal(result, CALL_ANSWERED);
+    assert_int_equal(result, CALL_COMPLETE);
     fixture->statuses[fixture->answers++] = http_message_status(message);
     snprintf(fixture->last_body, sizeof fixture->last_body, "%.*s", (int)message->body.size,
              message->body.size ? message->body.data : "");
@@ -139,28 +140,28 @@
 
 static void fixture_open(struct exchange_fixture *fixture, double bits_per_us, uint64_t wait_us)
 {
-    static const struct http_service_limits limits = {1024, HTTP_SERVICE_IDLE_MS};
+    static const struct http_service_limits limits = {1024, HTTP_SERVICE_IDLE_TIMEOUT_MS};
     memset(fixture, 0, sizeof *fixture);
     fixture->loop = uv_default_loop();
     fixture->set = set_with_manifest();
     fixture->server = piece_server_create(fixture->loop, fixture->set, bits_per_us, wait_us);
-    find_port(&fixture->address);
+    find_free_port(&fixture->address);
     assert_non_null(
         http_service_start(fixture->loop, &fixture->address, &limits, on_call, fixture));
 }
 
 static struct http_caller *ask_then(struct exchange_fixture *fixture, uint64_t pieces,
-                                    call_done *done)
+                                    http_call_done *done)
 {
     uint64_t wanted[PIECE_BITMAP_WORDS] = {pieces};
     struct buffer target = {0};
     piece_wire_write_piece("m", 2, wanted, PIECES, &target);
-    struct caller_request request = {.method = "GET",
-                                     .target = target.data,
-                                     .timeout_ms = 5000,
-                                     .body_limit = 1024,
-                                     .done = done,
-                                     .context = fixture};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target.data,
+                                          .timeout_ms = 5000,
+                                          .body_limit = 1024,
+                                          .done = done,
+                                          .context = fixture};
     struct http_caller *caller = http_caller_create(fixture->loop, &fixture->address);
     http_caller_send(caller, &request);
     buffer_clear(&target);
@@ -232,7 +233,8 @@
         assert_int_equal(fixture.statuses[i], 200);
 }
 
-static void on_given_up(void *context, enum call_result result, const struct http_message *message)
+static void on_given_up(void *context, enum http_call_result result,
+                        const struct http_message *message)
 {
     assert_int_equal(result, CALL_BROKEN);
 }
