--- a/src/base/buffer.h
+++ b/src/base/buffer.h
@@ -1,5 +1,5 @@
 /**
- * A growing run of bytes, and a place for small texts cut out of it.
+ * Growable byte buffer.
  */
 #ifndef SHUNTRUN_BUFFER_H
 #define SHUNTRUN_BUFFER_H
@@ -7,7 +7,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Owned bytes; zero-initialised is empty. */
+/** Owned bytes; a zero-initialized buffer is empty. */
 struct buffer {
     char *data;
     size_t size;
@@ -16,16 +16,16 @@
 
 /** \brief Append bytes. */
 void buffer_append(struct buffer *buffer, const void *bytes, size_t size);
-/** \brief Append a text without its closing zero. */
+/** \brief Append a string without its terminating NUL. */
 void buffer_append_text(struct buffer *buffer, const char *text);
-/** \brief Append formatted text without its closing zero. */
+/** \brief Append a formatted string without its terminating NUL. */
 void buffer_append_format(struct buffer *buffer, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** \brief Remove the first `size` bytes. */
 void buffer_consume(struct buffer *buffer, size_t size);
-/** \brief Empty it and keep its memory. */
+/** \brief Make the buffer empty but keep its memory. */
 void buffer_reset(struct buffer *buffer);
-/** \brief Free its memory. */
+/** \brief Free the memory and make the buffer empty. */
 void buffer_clear(struct buffer *buffer);
 
 #endif
--- a/src/base/findings.h
+++ b/src/base/findings.h
@@ -1,5 +1,6 @@
 /**
- * Findings: problems of an input, collected with their place and reported together.
+ * Findings: validation errors and warnings of an input, collected with their location and reported
+ * together.
  */
 #ifndef SHUNTRUN_FINDINGS_H
 #define SHUNTRUN_FINDINGS_H
@@ -26,7 +27,7 @@
 void findings_add(struct findings *findings, enum finding_severity severity, const char *place,
                   const char *format, ...) __attribute__((format(printf, 4, 5)));
 
-/** \brief Print every finding as `place: severity: text`, one a line. */
+/** \brief Print one line `place: severity: text` per finding. */
 void findings_print(const struct findings *findings, FILE *stream);
 
 /** \brief Free all findings and make the list empty. */
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -13,18 +13,18 @@
 #include <time.h>
 #include <unistd.h>
 
-/** Below PIPE_BUF, so that a pipe takes a line whole or not at all. */
+/** Below PIPE_BUF, so that a write to a pipe is atomic. */
 #define LOG_LINE_SIZE 1024
 #define LOG_EVENT_KINDS 256
 #define LOG_LINES_PER_SECOND 20
 #define LOG_BURST_LINES 60
 
-/* Lines of one kind that may be written now. */
+/* Token bucket of one kind of event. */
 struct event_limiter {
     const char *event;
-    double tokens;
+    double tokens; /* lines that may be written now */
     uint64_t refilled_us;
-    uint64_t left_out; /* since the last line of this kind */
+    uint64_t left_out; /* lines dropped since the last one written */
 };
 
 static const char *log_node = "-";
@@ -69,7 +69,8 @@
     return &event_limiters[start_index];
 }
 
-/* \return whether a line of this kind may be written; `left_out` gets how many were not before */
+/* \return whether a line of this kind may be written; `left_out` is set to the number dropped
+ * before it */
 static bool admit_event(const char *event, uint64_t *left_out)
 {
     pthread_mutex_lock(&event_limiters_lock);
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Counters of one thread. Blocks are never freed: a finished thread's counts stay in the sums. */
+/* Counters of one thread. Blocks are never freed, so that the sums include finished threads. */
 struct counter_block {
     uint64_t counts[METRIC_COUNTER_COUNT];
     struct counter_block *next;
@@ -18,7 +18,7 @@
 static _Thread_local struct counter_block *thread_block;
 static uint64_t gauges[METRIC_GAUGE_COUNT];
 
-/* Upper bounds of the buckets in microseconds; one more bucket holds the rest. */
+/* Upper bounds of the buckets in microseconds; a last bucket counts larger values. */
 static const uint64_t bucket_bounds[] = {1000,   2500,   5000,   10000,  25000,   50000,   100000,
                                          200000, 300000, 400000, 600000, 1000000, 2500000, 6000000};
 #define BUCKET_COUNT (sizeof bucket_bounds / sizeof bucket_bounds[0])
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 /**
- * Counters and gauges of our own. Counters are kept per thread and summed on read, so that an
- * increment touches no shared cache line; gauges are single words.
+ * Counters, gauges and histograms of this process. Counters are kept per thread and summed on read,
+ * so that an increment touches no shared cache line; gauges are single words.
  */
 #ifndef SHUNTRUN_METRICS_H
 #define SHUNTRUN_METRICS_H
@@ -8,7 +8,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* identifier, exposed series, help */
+/* identifier, series name, help text */
 #define METRIC_COUNTERS(X)                                                                         \
     X(METRIC_REQUESTS_DONE, "shuntrun_requests_total{outcome=\"done\"}", "requests by outcome")    \
     X(METRIC_REQUESTS_NOT_RUN, "shuntrun_requests_total{outcome=\"not_run\"}", "")                 \
@@ -111,7 +111,7 @@
       "time from the start to the first whole answer to a client, 0: none yet")                    \
     X(METRIC_LIVE_PEERS, "shuntrun_live_peers", "neighbours heard within the suspicion time")
 
-/* Durations, in buckets of fixed bounds. */
+/* Histograms of durations with fixed bucket bounds. */
 #define METRIC_HISTOGRAMS(X)                                                                       \
     X(METRIC_FIRST_EVENT, "shuntrun_first_event_seconds",                                          \
       "time from a request to the first event of its stream")                                      \
@@ -130,16 +130,18 @@
 enum metric_histogram { METRIC_HISTOGRAMS(METRIC_ENUM) METRIC_HISTOGRAM_COUNT };
 #undef METRIC_ENUM
 
-/** \brief Add to a counter; callable from any thread, takes no lock after a thread's first call. */
+/** \brief Add to a counter; callable from any thread, lock-free after the first call of a thread.
+ */
 void metric_add(enum metric_counter counter, uint64_t amount);
+/** \brief Set a gauge; callable from any thread. */
 void metric_gauge_set(enum metric_gauge gauge, uint64_t value);
-/** \brief Count a duration; callable from any thread. */
+/** \brief Add a duration to a histogram; callable from any thread. */
 void metric_observe(enum metric_histogram histogram, uint64_t microseconds);
 
-/** \brief Sum of a counter over all threads. */
+/** \brief Value of a counter, summed over all threads. */
 uint64_t metric_read(enum metric_counter counter);
 
-/** \brief All series in the Prometheus text format. \return text owned by the caller. */
+/** \brief Format all series in the Prometheus text format. \return text owned by the caller */
 char *metrics_format_prometheus(size_t *length);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -13,9 +13,9 @@
 #define OPTION_KEY_FIRST_SETTING 1000
 #define OPTION_KEY_SETTINGS_FILE 999
 
-/* Where the value of each setting came from; text is NULL while none was given. */
+/* Text and source of one setting; text is NULL while the setting has no value. */
 struct setting_value {
-    char *text; /* owned, until it is taken over by the settings */
+    char *text; /* owned until it moves to struct settings */
     char place[256];
 };
 
@@ -107,7 +107,7 @@
     }
 }
 
-/* Flags are kept aside by argp and applied last, since they go before variables and the file. */
+/* Flags are collected first and applied last, because they override variables and the file. */
 struct flags {
     struct settings_reader *reader;
     const char *flag_values[SETTING_COUNT];
@@ -148,14 +148,15 @@
     case SETTING_ROLE_AGENT:
         return "Run the agent of one back-end machine.";
     case SETTING_ROLE_EDGE:
-        return "Run a gateway of the users' platform: it takes clients' requests and relays "
+        return "Run a gateway of the users' platform: it serves client requests and relays "
                "weights.";
     case SETTING_ROLE_LOADER:
-        return "Run a loader beside one model engine: it brings the engine to the named version.";
+        return "Run a loader beside one model engine: it keeps the engine at the requested "
+               "version.";
     case SETTING_ROLE_GATEWAY:
         break;
     }
-    return "Run a gateway for callers.";
+    return "Run a gateway that serves client requests.";
 }
 
 static void parse_flags(struct flags *flags, int argc, char **argv)
@@ -215,7 +216,7 @@
     *target = number;
 }
 
-/* An IPv4 address and a port, as "10.0.0.1:80". */
+/* Whether the text is an IPv4 address and a port, as "10.0.0.1:80". */
 static bool is_endpoint(const char *text)
 {
     char address[INET_ADDRSTRLEN];
@@ -239,7 +240,7 @@
     return end != text && !*end && number >= 0 && number < 1e12;
 }
 
-/* Platforms give bounds as fractions too; rounded to whole units such a bound is still kept. */
+/* Platforms may specify a bound as a fraction; it is rounded so that the bound still holds. */
 static void check_bound(const struct setting_descriptor *descriptor,
                         const struct setting_value *value, uint64_t *target,
                         struct findings *findings)
@@ -333,7 +334,7 @@
             continue;
         void *target = (char *)settings + descriptor->offset;
         if (!value->text && descriptor->default_text && !descriptor->default_text[0]) {
-            *(const char **)target = memory_strdup(""); /* nothing to check */
+            *(const char **)target = memory_strdup(""); /* an empty default is not validated */
             continue;
         }
         if (!value->text && descriptor->default_text)
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,6 +1,6 @@
 /**
- * Settings of the daemons from flags, SHUNTRUN_* variables and a settings file, checked all at once
- * against the generated schema.
+ * Settings of the daemons from flags, SHUNTRUN_* environment variables and a settings file, in this
+ * order of precedence. All are validated against the generated schema, and all errors are reported.
  */
 #ifndef SHUNTRUN_SETTINGS_H
 #define SHUNTRUN_SETTINGS_H
@@ -16,12 +16,13 @@
     SETTING_URL,
     SETTING_CHOICE,
     SETTING_UINT,
-    SETTING_MOST,  /**< a bound that is not passed; a fraction is rounded down to whole units */
-    SETTING_LEAST, /**< one that is not fallen short of; a fraction is rounded up */
+    SETTING_MOST,  /**< upper bound; a fraction is rounded down to whole units */
+    SETTING_LEAST, /**< lower bound; a fraction is rounded up to whole units */
     SETTING_BOOL,
     SETTING_ENDPOINT, /**< "IP:PORT" */
-    SETTING_NUMBER,   /**< a number of 0 or more, with a fraction or without */
+    SETTING_NUMBER,   /**< number >= 0, may have a fraction; kept as text */
 };
+/** Daemons, as bits of setting_descriptor.roles. */
 enum setting_role {
     SETTING_ROLE_GATEWAY = 1,
     SETTING_ROLE_AGENT = 2,
@@ -32,8 +33,8 @@
 struct setting_descriptor {
     const char *name;
     enum setting_type type;
-    size_t offset; /**< in struct settings */
-    const char *default_text;
+    size_t offset;            /**< of the member in struct settings, bytes */
+    const char *default_text; /**< NULL: none */
     uint64_t minimum;
     uint64_t maximum;
     const char *unit;
@@ -48,15 +49,15 @@
 /**
  * \brief Read settings for one role.
  *
- * \param settings filled; released with settings_clear(), also after a failure
- * \param findings every problem, with the flag, variable or file line as its place
+ * \param settings filled; release it with settings_clear(), also after an error
+ * \param findings all errors and warnings, located by flag, variable or file line
  * \return STATUS_OK, or STATUS_INVALID when there is at least one error. `--help` and `--version`
  *         end the process with status 0, as argp does.
  */
 enum status settings_read(enum setting_role role, int argc, char **argv, struct settings *settings,
                           struct findings *findings);
 
-/** \brief Free the texts. */
+/** \brief Free the strings and zero all settings. */
 void settings_clear(struct settings *settings);
 
 #endif
--- a/src/net/authenticator.h
+++ b/src/net/authenticator.h
@@ -1,6 +1,6 @@
 /**
- * Authenticates the clients of CURVE links (ZeroMQ's ZAP, RFC 27): a key that is in no slot of the
- * key ring is refused. One for each process, on the control loop.
+ * ZAP handler (ZeroMQ RFC 27) that authenticates the clients of CURVE links: a public key that is
+ * in no slot of the key ring is rejected. One per process, on the control loop.
  */
 #ifndef SHUNTRUN_AUTHENTICATOR_H
 #define SHUNTRUN_AUTHENTICATOR_H
@@ -10,8 +10,10 @@
 
 struct authenticator;
 
-/** \brief Before any listener is opened. \return NULL with a status message */
+/** \brief Open the handler; call before any listener is opened. \return NULL with a status message
+ */
 struct authenticator *authenticator_open(void *zmq, struct loop *loop, const struct key_ring *keys);
+/** \brief Replace the accepted keys; open connections are not closed. */
 void authenticator_set_keys(struct authenticator *authenticator, const struct key_ring *keys);
 void authenticator_close(struct authenticator *authenticator);
 
--- a/src/net/daemon.c
+++ b/src/net/daemon.c
@@ -79,7 +79,8 @@
     return active == 0 || elapsed_us >= drain->min_wait_us + drain->timeout_us;
 }
 
-/* Addresses of all machines that this node knows, so that a tool may start from any node. */
+/* Addresses of all machines known to this node, so that a client can discover the fleet from any
+ * node. */
 static json_t *machines_json(const struct fleet *fleet)
 {
     json_t *list = json_array();
--- a/src/net/daemon.h
+++ b/src/net/daemon.h
@@ -1,5 +1,5 @@
 /**
- * What both daemons share: settings with findings, signals, the planned stop.
+ * Common parts of the gateway and agent daemons: settings, signals, graceful shutdown.
  */
 #ifndef SHUNTRUN_DAEMON_H
 #define SHUNTRUN_DAEMON_H
@@ -11,30 +11,32 @@
 #include <jansson.h>
 
 /**
- * \brief Read settings and the key file, print findings, set up the log and signals. SIGTERM and
- * SIGINT ask for a planned stop. \return 0, or 2 with the findings printed
+ * \brief Read the settings and the key file, print the findings, initialize logging and signal
+ * handlers. SIGTERM and SIGINT request a graceful shutdown. \return 0, or the exit status 2 after
+ * errors
  */
 int daemon_init(enum setting_role role, int argc, char **argv, struct settings *settings,
                 struct key_ring *keys);
 
-/** A planned stop: no new work, then the end of what is in progress. */
+/** Graceful shutdown: accept no new requests, then wait for those in progress. */
 struct daemon_drain {
-    uint64_t timeout_us;
-    uint64_t min_wait_us; /**< least time from the stop signal to the end */
-    uint64_t started_us;  /**< 0 before the stop signal */
-    bool listed_leaving;  /**< the machine list says that this machine leaves */
+    uint64_t timeout_us;  /**< longest wait for active requests, after `min_wait_us` */
+    uint64_t min_wait_us; /**< shortest time from the stop signal to the exit */
+    uint64_t started_us;  /**< time of the first tick after the stop signal; 0 before it */
+    bool listed_leaving;  /**< the machine list marks this machine as leaving */
 };
 
 void daemon_drain_init(struct daemon_drain *drain, uint64_t timeout_ms, uint64_t min_wait_ms);
 void daemon_set_listed_leaving(struct daemon_drain *drain, bool leaving);
 bool daemon_is_draining(const struct daemon_drain *drain);
-/** \brief Whether the process may end; to be called on each tick. \param active requests now */
+/** \brief Whether the process may exit; call on each tick. \param active requests in progress
+ *  \param now monotonic time, microseconds */
 bool daemon_drain_done(struct daemon_drain *drain, uint32_t active, uint64_t now);
 
-/** \brief Publish /v1/machines; when the machine list changed. */
+/** \brief Publish /v1/machines; call after a change of the machine list. */
 void daemon_publish_machines(const struct node_shell *shell, struct status_page *page);
 
-/** \brief The common part of /v1/status. */
+/** \brief Fields of /v1/status that both daemons report. \return a new reference */
 json_t *daemon_status_json(const struct node_shell *shell, const char *role,
                            const struct daemon_drain *drain);
 
--- a/src/net/http_caller.c
+++ b/src/net/http_caller.c
@@ -13,7 +13,7 @@
     void *context;
     uint32_t timeout_ms;
     size_t body_limit;
-    struct buffer bytes; /* the whole request */
+    struct buffer bytes; /* the serialized request */
 };
 
 struct http_caller {
@@ -21,17 +21,17 @@
     struct sockaddr_in address;
     struct tcp_stream *stream;
     bool is_connected;
-    bool request_sent; /* the first pending call is on its way */
+    bool request_sent; /* the first pending call is in flight */
     bool destroyed;
-    uint32_t callback_depth; /* nested callbacks; freed only at 0 */
+    uint32_t callback_depth; /* nested callbacks; the client is freed only at 0 */
     struct http_message message;
     struct pending_call *first;
     struct pending_call **last;
     uint32_t pending_count;
-    uint64_t first_byte_at;               /* of the answer under way or the last one, 0: none yet */
-    uint64_t transfer_us;                 /* of the last answer */
+    uint64_t first_byte_at;               /* of the current or latest response; 0: none yet */
+    uint64_t transfer_us;                 /* of the latest response */
     uint64_t idle_since;                  /* time of the end of the last call */
-    void (*on_disconnect)(void *context); /* NULL: nobody asks */
+    void (*on_disconnect)(void *context); /* may be NULL */
     void *disconnect_context;
     uv_timer_t timer;
 };
@@ -41,9 +41,9 @@
 const char *http_call_result_name(enum http_call_result result)
 {
     static const char *const names[] = {[CALL_COMPLETE] = "answered",
-                                        [CALL_CONNECT_FAILED] = "not reached",
+                                        [CALL_CONNECT_FAILED] = "connection failed",
                                         [CALL_BROKEN] = "broken",
-                                        [CALL_TIMED_OUT] = "no answer"};
+                                        [CALL_TIMED_OUT] = "timed out"};
     return names[result];
 }
 
@@ -56,7 +56,8 @@
 
 static void drop_connection(struct http_caller *caller)
 {
-    if (caller->stream && caller->request_sent) /* what was given up must not arrive any more */
+    /* Unsent bytes of an abandoned request must not reach the server. */
+    if (caller->stream && caller->request_sent)
         tcp_stream_reset(caller->stream);
     else if (caller->stream)
         tcp_stream_close(caller->stream);
@@ -135,7 +136,7 @@
 static void on_received(void *context, const char *bytes, size_t size)
 {
     struct http_caller *caller = context;
-    if (!caller->request_sent) { /* bytes that nobody asked for */
+    if (!caller->request_sent) { /* unsolicited bytes */
         drop_connection(caller);
         return;
     }
@@ -174,7 +175,7 @@
 static void start_next(struct http_caller *caller)
 {
     struct pending_call *call = caller->first;
-    /* Not from within a callback: it still reads the last answer. */
+    /* Not within a callback, which may still read the previous response. */
     if (!call || caller->request_sent || caller->destroyed || caller->callback_depth)
         return;
     if (!caller->stream) {
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -17,7 +17,7 @@
 {
     struct http_message *message = parser->data;
     if (message->head_complete)
-        return 0; /* a trailer */
+        return 0; /* trailer fields are ignored */
     if (message->in_value || !message->field_count) {
         if (message->field_count == HTTP_MESSAGE_MAX_FIELDS) {
             message->failure = HTTP_PARSE_HEAD_TOO_LARGE;
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -21,8 +21,8 @@
 };
 
 /*
- * One request. The listener's thread owns it until http_exchange_retain(); then it is shared with
- * the keeper under `lock` and freed when both sides let go.
+ * One request. The server's thread owns it until http_exchange_retain(); from then on it is shared
+ * with the handler's owner under `lock`, and freed when both have released it.
  */
 struct http_exchange {
     struct http_server *server;
@@ -34,12 +34,12 @@
     bool too_large;
     bool handled;
     bool replied;
-    /* kept exchanges */
+    /* retained exchanges */
     pthread_mutex_t lock;
-    unsigned references; /* listener and keeper */
+    unsigned references; /* by the server and by the handler's owner */
     bool kept;
     bool suspended;
-    bool closed; /* the listener let go */
+    bool closed; /* the server has released it */
     bool began;
     bool ended;
     bool broken;
@@ -47,7 +47,7 @@
     char content_type[64];
     struct stored_header *headers;
     size_t header_count;
-    uint8_t *pending; /* bytes that wait for the client */
+    uint8_t *pending; /* unsent response bytes */
     size_t pending_size;
     size_t pending_start;
     uint64_t tag;
@@ -71,7 +71,7 @@
     free(exchange);
 }
 
-/* Called with the lock held; releases it. */
+/* Called with `lock` held; unlocks it. */
 static void drop_reference(struct http_exchange *exchange)
 {
     bool last = --exchange->references == 0;
@@ -106,7 +106,7 @@
     return MHD_lookup_connection_value(exchange->connection, MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* ---- whole replies ---- */
+/* ---- complete responses ---- */
 
 static void queue_response(struct http_exchange *exchange, unsigned status,
                            struct MHD_Response *response)
@@ -147,7 +147,7 @@
     queue_response(exchange, status, response);
 }
 
-/* ---- kept exchanges ---- */
+/* ---- retained exchanges ---- */
 
 void http_exchange_retain(struct http_exchange *exchange)
 {
@@ -155,7 +155,7 @@
     exchange->references = 2;
 }
 
-/* Lock held. */
+/* Called with `lock` held. */
 static void resume_connection(struct http_exchange *exchange)
 {
     if (!exchange->suspended || exchange->closed)
@@ -215,7 +215,8 @@
     pthread_mutex_unlock(&exchange->lock);
 }
 
-/* MHD asks for bytes: give what waits, or sleep until the keeper has more. */
+/* Content reader of libmicrohttpd: returns unsent bytes, or suspends the connection until there
+ * are more. */
 static ssize_t read_stream(void *context, uint64_t position, char *buffer, size_t max_size)
 {
     struct http_exchange *exchange = context;
@@ -239,7 +240,7 @@
     return produced;
 }
 
-/* The keeper has begun the response: status and headers stay as they are. */
+/* Called after http_stream_begin(), which fixed the status and the headers. */
 static enum MHD_Result queue_stream(struct http_exchange *exchange)
 {
     struct MHD_Response *response =
@@ -265,8 +266,8 @@
     pthread_mutex_unlock(&exchange->lock);
     if (close_now)
         return MHD_NO; /* closes the connection */
-    /* Not under the lock: libmicrohttpd locks the response here, and takes the two in the other
-     * order when it asks for bytes. */
+    /* Without `lock`, to prevent a deadlock: libmicrohttpd locks the response here, and takes the
+     * two locks in the opposite order when it calls read_stream(). */
     return queue_now ? queue_stream(exchange) : MHD_YES;
 }
 
@@ -356,7 +357,7 @@
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(settings->port)};
     server->settings = *settings;
     if (inet_pton(AF_INET, settings->address, &address.sin_addr) != 1) {
-        status_fail(STATUS_INVALID, "`%s` is no IP number", settings->address);
+        status_fail(STATUS_INVALID, "`%s` is not an IPv4 address", settings->address);
         free(server);
         return NULL;
     }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,6 +1,6 @@
 /**
- * HTTP listener on libmicrohttpd. Handlers run on the listener's threads; a response may be given
- * at once, or later and in pieces by another thread through an exchange.
+ * HTTP server based on libmicrohttpd. Handlers run on the server's threads; they reply at once, or
+ * another thread streams the response later through a retained exchange.
  */
 #ifndef SHUNTRUN_HTTP_SERVER_H
 #define SHUNTRUN_HTTP_SERVER_H
@@ -15,6 +15,7 @@
 struct http_server;
 struct http_exchange;
 
+/** A complete request; valid during the handler only. */
 struct http_request {
     const char *method;
     const char *path;
@@ -23,8 +24,8 @@
 };
 
 /**
- * \brief Answer a request: http_reply() now, or keep the exchange for http_stream_*() later.
- * Called once the whole body is there.
+ * \brief Handle a request: reply with http_reply*() now, or retain the exchange for http_stream_*()
+ * later. Called once the whole body was received.
  */
 typedef void http_handler(void *context, struct http_exchange *exchange,
                           const struct http_request *request);
@@ -33,14 +34,14 @@
     const char *address;
     uint16_t port;
     unsigned threads;
-    unsigned connection_limit;
-    size_t body_limit;
-    size_t header_limit;         /**< bytes for the headers of one connection */
+    unsigned connection_limit; /**< open connections at most */
+    size_t body_limit;         /**< bytes; a longer body is answered with 413 */
+    size_t header_limit; /**< bytes of memory per connection, which bounds the request headers */
     const char *tls_certificate; /**< PEM text; NULL: plain HTTP */
     const char *tls_key;
     http_handler *handler;
-    /** The client of a kept exchange went away, or its response is complete; the exchange is freed
-     *  when the handler's owner calls http_exchange_release(). May be NULL. */
+    /** The client of a retained exchange disconnected, or the response is complete; the exchange
+     *  is freed after http_exchange_release(). May be NULL. */
     void (*closed)(void *context, struct http_exchange *exchange);
     void *context;
 };
@@ -49,7 +50,9 @@
 struct http_server *http_server_start(const struct http_server_settings *settings);
 void http_server_stop(struct http_server *server);
 
+/** \return a request header, or NULL; for use within the handler */
 const char *http_header(struct http_exchange *exchange, const char *name);
+/** \return a query parameter, or NULL; for use within the handler */
 const char *http_query(struct http_exchange *exchange, const char *name);
 
 struct http_reply_header {
@@ -57,37 +60,43 @@
     const char *value;
 };
 
-/** \brief Whole response from a copy of `body`. \param headers ended by a NULL name; may be NULL */
+/** \brief Send a complete response with a copy of `body`. \param headers ended by a NULL name; may
+ * be NULL */
 void http_reply(struct http_exchange *exchange, unsigned status, const char *content_type,
                 const void *body, size_t size, const struct http_reply_header *headers);
 
-/** \brief Whole response from memory that stays valid until `release(owner)`; nothing is copied. */
+/** \brief Send a complete response without copying `body`, which stays valid until
+ * `release(owner)`. */
 void http_reply_shared(struct http_exchange *exchange, unsigned status, const void *body,
                        size_t size, void (*release)(void *owner), void *owner);
 
 /**
- * \brief Whole response of known size, read in pieces on the listener's thread, which `read` may
- *        block. `release(owner)` is called at the end, also of a broken response.
+ * \brief Send a response of known size, read block by block on the server's thread, which `read`
+ * may block to pace it. `release(owner)` is called at the end, also of an aborted response.
  */
 void http_reply_paced(struct http_exchange *exchange, unsigned status, uint64_t size,
                       ssize_t (*read)(void *owner, uint64_t position, char *buffer,
                                       size_t max_size),
                       void (*release)(void *owner), void *owner);
 
-/** \brief Keep the exchange beyond the handler; call once, within the handler. */
+/** \brief Retain the exchange beyond the handler; call once, within the handler. */
 void http_exchange_retain(struct http_exchange *exchange);
 
-/* For kept exchanges, from any thread. The head goes out with the first call. */
-/** \return false when the client is gone or `limit` bytes wait for a slow client */
+/* For retained exchanges, from any thread. The response starts with http_stream_begin(). */
+/** \brief Append response data. \return false, with nothing appended, when the client has
+ * disconnected or more than `limit` bytes would be unsent */
 bool http_stream_data(struct http_exchange *exchange, const void *data, size_t size, size_t limit);
+/** \brief Start the response with its status and headers. */
 void http_stream_begin(struct http_exchange *exchange, unsigned status, const char *content_type,
                        const struct http_reply_header *headers);
+/** \brief Complete the response once all data is sent. */
 void http_stream_end(struct http_exchange *exchange);
-/** \brief Break the connection, so that the client cannot take what it has for whole. */
+/** \brief Abort the connection, so that the client cannot mistake a truncated response for a
+ * complete one. */
 void http_stream_abort(struct http_exchange *exchange);
-/** \brief Give the kept exchange back; it must not be used afterwards. */
+/** \brief Release a retained exchange; it must not be used afterwards. */
 void http_exchange_release(struct http_exchange *exchange);
-/** \brief Owner's own word for a kept exchange. */
+/** \brief Store a value of the handler's owner with a retained exchange. */
 void http_exchange_set_tag(struct http_exchange *exchange, uint64_t tag);
 uint64_t http_exchange_tag(const struct http_exchange *exchange);
 
--- a/src/net/http_service.c
+++ b/src/net/http_service.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define HEAD_LIMIT_BYTES 16384
-/** Connections are looked at so often in the time that they may be idle. */
+/** Checks for idle connections per idle timeout. */
 #define IDLE_CHECKS_PER_TIMEOUT 4
 
 struct http_service {
@@ -21,15 +21,15 @@
     struct service_call *calls;
 };
 
-/* A connection; `waiting` is set while a call has no answer. */
+/* A connection; `awaiting_reply` is set while a request has no reply. */
 struct service_call {
     struct http_service *service;
-    struct tcp_stream *stream; /* NULL when the peer is gone */
+    struct tcp_stream *stream; /* NULL once the connection is closed */
     struct http_message message;
     struct buffer unparsed;
     bool awaiting_reply;
     bool parsing;
-    uint64_t last_activity_us; /* time of the last bytes, or of the last answer */
+    uint64_t last_activity_us; /* time of the last bytes received or the last reply */
     struct service_call *next;
     struct service_call **previous_link;
 };
@@ -179,8 +179,8 @@
         free_call(call);
 }
 
-/* Machines that lost power close nothing: each of their connections would take a descriptor for as
- * long as this process runs. */
+/* A machine that lost power doesn't close its connections: without this check, each would hold a
+ * descriptor for the lifetime of this process. */
 static void on_idle_check(uv_timer_t *timer)
 {
     struct http_service *service = timer->data;
--- a/src/net/http_service.h
+++ b/src/net/http_service.h
@@ -1,6 +1,6 @@
 /**
- * A small HTTP/1.1 server on a libuv loop for short calls: addresses, readiness, metrics, and what
- * nodes ask of each other. The answer may be given at once or later.
+ * Small HTTP/1.1 server on a libuv loop for short requests: addresses, readiness, metrics, and
+ * requests between nodes. The handler may reply at once or later.
  */
 #ifndef SHUNTRUN_HTTP_SERVICE_H
 #define SHUNTRUN_HTTP_SERVICE_H
@@ -10,29 +10,31 @@
 
 struct http_service;
 
-/** One call that waits for its answer. */
+/** A request without a reply yet. */
 struct service_call;
 
 struct service_request {
     const char *method;
-    const char *target; /**< path and query, not ended by zero */
+    const char *target; /**< path and query, not NUL-terminated */
     size_t target_length;
     const char *body;
     size_t body_size;
     struct sockaddr_in peer;
 };
 
-/** What a peer may take up. */
+/** Resource limits per connection. */
 struct http_service_limits {
-    size_t body_bytes;        /**< of one call */
-    uint32_t idle_timeout_ms; /**< a connection is closed when its peer sends nothing, and waits for
-                           no answer, for so long */
+    size_t body_bytes;        /**< request body */
+    uint32_t idle_timeout_ms; /**< a connection is closed after this time without bytes
+                               received and without a pending reply */
 };
 
-/** Pollers come every few seconds, and nodes that ask each other connect again when they need to:
- *  whoever is silent for a minute is most likely gone. */
+/** Pollers send a request every few seconds, and nodes reconnect on demand: a peer that is silent
+ *  for a minute has most likely disappeared. */
 #define HTTP_SERVICE_IDLE_TIMEOUT_MS 60000
 
+/** Handles a request. `request` is valid during the call, its target and body until
+ * service_reply(). */
 typedef void service_handler(void *context, struct service_call *call,
                              const struct service_request *request);
 
@@ -40,12 +42,12 @@
 struct http_service *http_service_start(uv_loop_t *loop, const struct sockaddr_in *address,
                                         const struct http_service_limits *limits,
                                         service_handler *handler, void *context);
-/** \brief Answer a call, once; the call is gone afterwards. */
+/** \brief Reply to a call, exactly once; `call` must not be used afterwards. */
 void service_reply(struct service_call *call, unsigned status, const char *content_type,
                    const void *body, size_t size);
-/** \return whether the peer closed the connection: an answer would reach nobody */
+/** \return whether the peer closed the connection, so that a reply would be discarded */
 bool service_call_is_disconnected(const struct service_call *call);
-/** \return whether the path, without its query, is this one */
+/** \return whether the path without the query equals `path` */
 bool service_path_is(const struct service_request *request, const char *path);
 
 #endif
--- a/src/net/key_ring.c
+++ b/src/net/key_ring.c
@@ -23,7 +23,7 @@
     return strcmp(name, "b") == 0 ? 1 : -1;
 }
 
-/* Whether the two are a pair; libzmq works the public key out of the secret one. */
+/* Whether the public key belongs to the secret key, from which libzmq derives it. */
 static bool is_key_pair(const char *public_key, const char *secret_key)
 {
     char derived[KEY_TEXT_SIZE];
@@ -35,7 +35,7 @@
                       const char *secret_key, const char *path, int line, struct findings *findings)
 {
     if (!is_key_pair(public_key, secret_key)) {
-        add_line_error(findings, path, line, "these are no pair of CURVE keys");
+        add_line_error(findings, path, line, "not a matching pair of CURVE keys");
         return;
     }
     ring->slots[slot].present = true;
@@ -43,7 +43,7 @@
     strcpy(ring->slots[slot].secret_key, secret_key);
 }
 
-/* \return the slot that a `use` line names, or -1 */
+/* \return the slot of a `use` line, or -1 for other lines */
 static int read_line(struct key_ring *ring, const char *text, const char *path, int line,
                      struct findings *findings)
 {
--- a/src/net/link_listener.c
+++ b/src/net/link_listener.c
@@ -1,5 +1,5 @@
 /**
- * Listening side of the links: one socket for each key slot.
+ * Listening side of the links, with one socket per key slot.
  */
 #include "base/log.h"
 #include "base/memory.h"
@@ -22,13 +22,12 @@
     void *context;
     struct key_ring keys;
     char endpoints[KEY_SLOTS][ENDPOINT_SIZE];
-    void *sockets[KEY_SLOTS];  /* NULL: the slot is not served */
-    void *monitors[KEY_SLOTS]; /* events of handshakes that failed */
+    void *sockets[KEY_SLOTS];  /* NULL: the slot has no keys */
+    void *monitors[KEY_SLOTS]; /* monitor sockets for failed handshakes */
 };
 
-/* A peer without the fleet's keys does not get as far as the authenticator: its handshake
- * fails.
- */
+/* The handshake of a peer without the server's public key fails before the authenticator sees it,
+ * so these rejections are counted here. */
 static void on_handshake_failed(void *context)
 {
     struct link_listener *listener = context;
@@ -135,7 +134,7 @@
             continue;
         close_slot(listener, slot);
         if (is_slot_enabled(keys, slot))
-            open_slot(listener, slot); /* a port that is still busy is tried at the next change */
+            open_slot(listener, slot); /* a port still in use is retried at the next key change */
     }
 }
 
@@ -162,7 +161,7 @@
             return NULL;
         Shuntrun__Envelope *message = link_socket_receive(socket);
         if (!message)
-            continue; /* malformed bytes are dropped */
+            continue; /* malformed messages are dropped */
         if (route)
             route->slot = (uint8_t)slot;
         return message;
--- a/src/net/links.c
+++ b/src/net/links.c
@@ -15,7 +15,7 @@
 struct link {
     uint64_t id;
     void *socket;
-    uint64_t retired_at_us; /* 0: in use */
+    uint64_t retired_at_us; /* 0: current */
 };
 
 struct links {
@@ -25,7 +25,7 @@
     struct loop *loop;
     links_receive_callback *on_message;
     void *context;
-    struct link *items; /* retired ones too */
+    struct link *items; /* current and retired links */
     uint32_t count;
 };
 
@@ -68,7 +68,7 @@
     return NULL;
 }
 
-/* Answers of all links: one may be readable without an event of its own. */
+/* Receives from all links, as one may be readable without an event of its own. */
 static void receive_all(void *context)
 {
     struct links *links = context;
@@ -77,7 +77,7 @@
         while (link_socket_readable(link.socket)) {
             Shuntrun__Envelope *message = link_socket_receive(link.socket);
             if (!message)
-                continue; /* malformed bytes are dropped */
+                continue; /* malformed messages are dropped */
             links->on_message(links->context, link.id, message);
             shuntrun__envelope__free_unpacked(message, NULL);
         }
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -32,7 +32,7 @@
     CURL *easy;
     struct curl_slist *headers;
     struct http_call call;
-    uint8_t *body; /* request, owned */
+    uint8_t *body; /* request body, owned */
     uint8_t *response;
     size_t response_size;
     uint32_t retry_after_ms;
@@ -47,7 +47,7 @@
     struct transfer *transfers;
     uint64_t next_number;
     struct watched_socket *sockets;
-    struct curl_waitfd *descriptors; /* one for each socket */
+    struct curl_waitfd *descriptors; /* one per socket */
     uint32_t socket_count;
     ck_stack_t posted_calls;
     uint32_t stopped;
@@ -113,7 +113,7 @@
 {
     ck_stack_entry_t *newest = ck_stack_batch_pop_upmc(&loop->posted_calls);
     ck_stack_entry_t *oldest = NULL;
-    while (newest) { /* the stack is last-in first-out: turn it round */
+    while (newest) { /* the stack is last-in, first-out: reverse it */
         ck_stack_entry_t *next = newest->next;
         newest->next = oldest;
         oldest = newest;
@@ -199,8 +199,8 @@
     return size;
 }
 
-/* The connection is there and nothing is sent yet: the last moment to find that it is too late,
- * as after a pause of the process. */
+/* Called when the connection is established and nothing was sent: the last point at which an
+ * expired deadline is noticed, for example after the process was suspended. */
 static int check_send_deadline(void *context, char *remote, char *local, int remote_port,
                                int local_port)
 {
@@ -305,7 +305,7 @@
     memcpy(response.note, transfer->note, sizeof response.note);
     unlink_transfer(loop, transfer->number);
     transfer->call.on_done(transfer->call.context, &response);
-    transfer->response = response.body; /* NULL when it was taken */
+    transfer->response = response.body; /* NULL after http_response_take_body() */
     free_transfer(loop, transfer);
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,6 +1,6 @@
 /**
- * Event loop of one thread: HTTP transfers (libcurl multi), ZeroMQ sockets, work posted by other
- * threads, and a periodic tick. All callbacks run on the loop's thread.
+ * Event loop of one thread: HTTP requests (libcurl multi), ZeroMQ sockets, callbacks posted by
+ * other threads, and a periodic tick. All callbacks run on the loop's thread.
  */
 #ifndef SHUNTRUN_LOOP_H
 #define SHUNTRUN_LOOP_H
@@ -16,43 +16,48 @@
 typedef void loop_callback(void *context);
 
 struct loop *loop_create(void);
-/** \brief Run what is still posted; after the loop's thread ended, before what it uses is freed. */
+/** \brief Run the callbacks still posted; call after the loop's thread ended, before their
+ * arguments are freed. */
 void loop_run_posted(struct loop *loop);
-/** \brief End all calls: `on_abandoned` is called for each, `on_done` is not. */
+/** \brief Cancel all requests and free the loop: `on_abandoned` is called for each, `on_done` is
+ * not. */
 void loop_destroy(struct loop *loop);
 
 /** \brief Run until loop_stop(). */
 void loop_run(struct loop *loop);
-/** \brief From any thread. */
+/** \brief Make loop_run() return; callable from any thread. */
 void loop_stop(struct loop *loop);
-/** \brief From any thread: run `callback(argument)` on the loop's thread, in order of posting. */
+/** \brief Run `callback(argument)` on the loop's thread, in order of posting; callable from any
+ * thread. */
 void loop_post(struct loop *loop, loop_callback *callback, void *argument);
 
-/** \brief Call on every turn and at least every `interval_us`. */
+/** \brief Call `callback` every `interval_us` microseconds, or later when other callbacks take
+ * longer. */
 void loop_set_tick(struct loop *loop, uint64_t interval_us, loop_callback *callback, void *context);
-/** \brief Call when a ZeroMQ socket may be readable; the callback drains it. */
+/** \brief Call `callback` when a ZeroMQ socket is readable; it must read until the socket is empty.
+ */
 void loop_watch_socket(struct loop *loop, void *socket, loop_callback *callback, void *context);
-/** \brief Before the socket is closed. */
+/** \brief Stop watching a socket; call before it is closed. */
 void loop_unwatch_socket(struct loop *loop, void *socket);
 
 enum http_result {
-    HTTP_COMPLETE, /**< a whole response came; see `status` */
-    HTTP_NOT_SENT, /**< no connection was made: the server saw nothing */
+    HTTP_COMPLETE, /**< a complete response was received; see `status` */
+    HTTP_NOT_SENT, /**< no request was sent: the server received nothing */
     HTTP_BROKEN,   /**< broken, stalled or timed out after something was sent */
 };
 
-/** Result of one call; valid during `on_done` only. */
+/** Result of one request; valid during `on_done` only. */
 struct http_response {
     enum http_result result;
     long status;
-    uint8_t *body; /**< empty when `on_data` took the bytes; see http_response_take_body() */
+    uint8_t *body; /**< empty when `on_data` received the bytes; see http_response_take_body() */
     size_t size;
-    uint32_t retry_after_ms;
-    char note[32];     /**< the X-Note header, "" when absent */
-    const char *error; /**< text for logs */
+    uint32_t retry_after_ms; /**< from Retry-After, 0 when absent */
+    char note[32];           /**< the X-Note header, "" when absent */
+    const char *error;       /**< text for logs */
 };
 
-/** \brief Take the body over: freed by the caller from now on. */
+/** \brief Take ownership of the body; freed by the caller. */
 uint8_t *http_response_take_body(struct http_response *response);
 
 struct http_call {
@@ -61,24 +66,25 @@
     const char *const *headers; /**< "Name: value", ended by NULL; may be NULL */
     const void *body;           /**< copied */
     size_t body_size;
-    size_t body_limit;       /**< bytes of response kept at most; more breaks the call */
-    uint64_t timeout_ms;     /**< of the whole call; 0: none */
-    uint64_t stall_ms;       /**< no byte for so long breaks the call; 0: none */
+    size_t body_limit;       /**< bytes of response body; a longer one fails as HTTP_BROKEN */
+    uint64_t timeout_ms;     /**< for the whole request; 0: none */
+    uint64_t stall_ms;       /**< longest time without a received byte; 0: unlimited */
     uint64_t send_before_us; /**< monotonic time after which nothing may be sent; 0: none */
-    bool fresh_connection;   /**< no reuse: libcurl then never sends a request twice */
-    /** Take response bytes as they come, instead of `body`; may be NULL. */
+    bool fresh_connection;   /**< do not reuse a connection: on a reused one libcurl may send the
+                                request twice */
+    /** Receives the bytes of a response with status 200 instead of `body`; may be NULL. */
     void (*on_data)(void *context, const uint8_t *data, size_t size);
-    /** Bytes came that are kept in `body`; may block to pace them; may be NULL. */
+    /** Called after bytes were appended to `body`; may block to limit the rate; may be NULL. */
     void (*on_bytes)(void *context, size_t size);
     void (*on_done)(void *context, struct http_response *response);
-    /** Release `context` of a call that loop_destroy() ends; may be NULL. */
+    /** Releases `context` of a request that loop_destroy() cancels; may be NULL. */
     void (*on_abandoned)(void *context);
     void *context;
 };
 
-/** \brief Start a call. \return its number, for loop_http_cancel() */
+/** \brief Start a request. \return its number, for loop_http_cancel() */
 uint64_t loop_http(struct loop *loop, const struct http_call *call);
-/** \brief End a call; `on_done` is not called. Unknown numbers are ignored. */
+/** \brief Cancel a request; no callback is called. Unknown numbers are ignored. */
 void loop_http_cancel(struct loop *loop, uint64_t number);
 
 #endif
--- a/src/net/node_shell.c
+++ b/src/net/node_shell.c
@@ -23,7 +23,7 @@
     Shuntrun__DocumentKind kind;
 };
 
-/* Body of the platform's answer: {"revision": N, "value": "<text>"} */
+/* Response body of the platform: {"revision": N, "value": "<text>"} */
 static enum node_read_result apply_document(struct document_read *read,
                                             struct http_response *response)
 {
@@ -86,7 +86,7 @@
 {
     struct node_shell *shell = context;
     metric_add(METRIC_UPDATES_SENT, 1);
-    links_send(shell->links, to, message); /* lost messages are made up for by later updates */
+    links_send(shell->links, to, message); /* later updates compensate for lost messages */
 }
 
 static void close_unlisted_links(struct node_shell *shell)
@@ -148,7 +148,7 @@
     log_event(LOG_LEVEL_INFO, "links", "keys_changed", "use=%c", "ab"[keys->active_slot]);
 }
 
-/* A key file with errors changes nothing: the keys in use stay. */
+/* A key file with errors is logged and ignored: the current keys stay in effect. */
 static void reload_keys_if_changed(struct node_shell *shell)
 {
     const char *path = shell->settings->control_keys_file;
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -11,9 +11,9 @@
 
 #define READ_BUFFER_SIZE 65536
 #define LISTEN_BACKLOG 1024
-/** Bytes unacknowledged for so long break a connection: the peer is dead or cut off. */
+/** TCP_USER_TIMEOUT: a peer that acknowledges no bytes for this long is dead or partitioned. */
 #define USER_TIMEOUT_MS 4000
-/** Time that a closing connection gets to send what waits and to hear the peer's end. */
+/** Time for a closing connection to send queued bytes and to receive the peer's FIN. */
 #define LINGER_TIMEOUT_MS 2000
 
 struct tcp_stream {
@@ -25,7 +25,7 @@
     uv_timer_t linger; /* started by tcp_stream_finish() */
     uint32_t queued_writes;
     bool linger_started;
-    bool released; /* the owner has let go */
+    bool released; /* the owner has closed it: no more callbacks */
     bool closing;
     bool is_connected;
     bool resets_on_close;
@@ -37,7 +37,7 @@
     char bytes[];
 };
 
-/* One loop, one thread: every read passes through this buffer. */
+/* Shared by all streams, as there is one loop on one thread. */
 static char read_buffer[READ_BUFFER_SIZE];
 
 static void on_timer_closed(uv_handle_t *handle)
@@ -68,8 +68,8 @@
 }
 
 /*
- * libuv reports an end of file as soon as the socket hangs up after a short read, without looking
- * at why: a reset is taken for an orderly end. So the socket itself is asked.
+ * libuv reports EOF as soon as the socket hangs up after a short read, and doesn't check why: a
+ * reset looks like an orderly close. So the state is read from the socket itself.
  */
 static enum tcp_end socket_end(struct tcp_stream *stream)
 {
@@ -109,8 +109,8 @@
         setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
 }
 
-/* \param on whether the kernel drops what waits and resets the connection when the socket closes,
- * as it does when the process ends */
+/* \param on whether the kernel discards unsent bytes and resets the connection when the socket is
+ * closed, which also happens when the process ends */
 static void set_reset_on_close(struct tcp_stream *stream, bool on)
 {
     stream->resets_on_close = on;
@@ -124,7 +124,7 @@
                   on, uv_strerror(error));
 }
 
-/* Before a close that is meant: it is an orderly end. */
+/* Called before an intentional close, which is orderly and sends queued bytes. */
 static void clear_reset_on_close(struct tcp_stream *stream)
 {
     if (stream->resets_on_close && !stream->closing)
@@ -150,8 +150,9 @@
     if (status == 0) {
         stream->is_connected = true;
         set_options(stream);
-        /* The kernel would go on sending a request after this process was killed: the back end got
-         * it when it no longer wanted any, and nobody was left to take it back. */
+        /* Otherwise the kernel would continue to send a request after this process was killed: the
+         * back end would receive it after it asked for no more requests, and no process could
+         * cancel it. */
         set_reset_on_close(stream, true);
         uv_read_start((uv_stream_t *)&stream->handle, on_allocate, on_read);
     }
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -1,9 +1,9 @@
 /**
- * A TCP connection on a libuv loop: bytes in by callback, bytes out copied only when the socket is
- * full. All calls and callbacks belong to the loop's thread.
+ * TCP connection on a libuv loop. Received bytes are passed to a callback; sent bytes are copied
+ * only when the socket buffer is full. All calls and callbacks run on the loop's thread.
  *
- * The owner's callbacks are not called any more after tcp_stream_close() or tcp_stream_reset(). The
- * stream frees itself.
+ * No callback is called after tcp_stream_close(), tcp_stream_finish() or tcp_stream_reset(). The
+ * stream then frees itself.
  */
 #ifndef SHUNTRUN_TCP_STREAM_H
 #define SHUNTRUN_TCP_STREAM_H
@@ -22,38 +22,40 @@
 };
 
 struct tcp_stream_callbacks {
-    /** A connection that tcp_stream_connect() began came up, or did not. */
+    /** Result of tcp_stream_connect(). */
     void (*connected)(void *context, bool success);
     void (*received)(void *context, const char *bytes, size_t size);
     void (*ended)(void *context, enum tcp_end end);
-    /** All bytes were handed to the kernel, after some had to wait; may be NULL. */
+    /** All queued bytes were written to the socket; may be NULL. */
     void (*drained)(void *context);
 };
 
 /**
- * \brief Connect; the answer is `connected`, also when it fails at once. If the process ends before
- *        the stream is closed, what the peer's machine has not got by then is not sent any more.
+ * \brief Connect; `connected` is called with the result. If the process ends before the stream is
+ *        closed, the kernel discards unsent bytes and resets the connection. \return NULL when the
+ *        connection cannot be started; no callback is called then
  */
 struct tcp_stream *tcp_stream_connect(uv_loop_t *loop, const struct sockaddr_in *address,
                                       const struct tcp_stream_callbacks *callbacks, void *context);
-/** \brief Accept one connection of a listener. \return NULL when there is none */
+/** \brief Accept a connection of a listener. \return NULL when there is none */
 struct tcp_stream *tcp_stream_accept(uv_stream_t *listener,
                                      const struct tcp_stream_callbacks *callbacks, void *context);
 void tcp_stream_set_context(struct tcp_stream *stream, void *context);
-/** \brief Send bytes; they are copied if they have to wait. */
+/** \brief Send bytes; those that the socket does not accept at once are copied and queued. */
 void tcp_stream_write(struct tcp_stream *stream, const void *bytes, size_t size);
-/** \return bytes that wait for the kernel */
+/** \return queued bytes that were not written to the socket */
 size_t tcp_stream_unsent_bytes(const struct tcp_stream *stream);
-/** \brief Stop or go on reading. */
+/** \brief Pause or resume reading. */
 void tcp_stream_pause(struct tcp_stream *stream, bool pause);
-/** \brief Send what waits, then close. */
+/** \brief Send queued bytes, then close. */
 void tcp_stream_close(struct tcp_stream *stream);
 /**
- * \brief Send what waits and an end, and read on for a moment before closing, so that bytes still
- *        on their way do not reset the connection before the peer has read the answer.
+ * \brief Send queued bytes and a FIN, and discard received bytes for up to LINGER_TIMEOUT_MS before
+ *        closing. Otherwise bytes that arrive after the close would reset the connection before the
+ *        peer has read the response.
  */
 void tcp_stream_finish(struct tcp_stream *stream);
-/** \brief Break the connection at once: the peer sees a reset. */
+/** \brief Close at once with a TCP reset; queued bytes are discarded. */
 void tcp_stream_reset(struct tcp_stream *stream);
 
 /** \brief Parse "IP:PORT". */
--- a/tests/base/log_test.c
+++ b/tests/base/log_test.c
@@ -1,4 +1,4 @@
-/* Log lines are bounded, whole, and never block, also when nobody reads them. */
+/* Log lines are rate-limited, written whole, and never block, even when nobody reads the output. */
 #include "testing.h"
 
 #include "base/log.h"
@@ -9,7 +9,7 @@
 
 #define EVENTS 5000
 
-/* Standard output becomes a pipe whose reading end is returned. */
+/* Redirects standard output to a pipe. \return the read end */
 static int redirect(int *kept)
 {
     int ends[2];
@@ -58,7 +58,7 @@
     uint64_t before = log_dropped();
     memset(padding, 'x', sizeof padding - 1);
     padding[sizeof padding - 1] = 0;
-    /* 20 kinds with 60 lines of 0.8 KB each: far more than a pipe holds. */
+    /* 20 kinds of event with 60 lines of 0.8 KB each: far more than a pipe buffers. */
     for (int i = 0; i < 60; i++)
         for (int k = 0; k < 20; k++)
             log_event(LOG_LEVEL_INFO, "test", kinds[k], "text=%s", padding);
--- a/tests/base/metrics_test.c
+++ b/tests/base/metrics_test.c
@@ -1,4 +1,4 @@
-/* The metrics page in the Prometheus text format, read strictly. */
+/* Strict check of /metrics output against the Prometheus text format. */
 #include "testing.h"
 
 #include "base/metrics.h"
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* \return whether a line is `name{labels} value` with a legal name */
+/* \return whether a line is `name{labels} value` with a valid name */
 static bool is_sample(const char *line)
 {
     size_t name = strspn(line, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_:0123456789");
--- a/tests/base/settings_test.c
+++ b/tests/base/settings_test.c
@@ -1,3 +1,4 @@
+/* Settings: precedence of sources, and findings for every invalid value. */
 #include "testing.h"
 
 #include "base/settings.h"
@@ -106,7 +107,7 @@
     settings_clear(&settings);
 }
 
-/* Of a deployment that is played at a share of its size: 654 requests / 19. */
+/* The allowance of a deployment simulated at 1/19 of its size: 654 requests / 19. */
 static void bound_may_be_a_fraction(void **state)
 {
     char *arguments[] = {"edge", "--repeat-budget-allowance", "34.42", "--repeat-budget-window-s",
--- a/tests/net/free_port.h
+++ b/tests/net/free_port.h
@@ -1,5 +1,5 @@
 /**
- * A free port on loopback, for tests that open a service.
+ * Finds a free loopback port for tests that open a server.
  */
 #ifndef SHUNTRUN_TEST_FREE_PORT_H
 #define SHUNTRUN_TEST_FREE_PORT_H
@@ -11,7 +11,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** \brief Find a port that was free a moment ago. */
+/** \brief Set `address` to a loopback port that was free when checked. */
 static inline void find_free_port(struct sockaddr_in *address)
 {
     socklen_t size = sizeof *address;
--- a/tests/net/http_caller_test.c
+++ b/tests/net/http_caller_test.c
@@ -1,4 +1,5 @@
-/* Calls to one address: what is sent while others are given up. */
+/* HTTP client: a call sent from the callback of an aborted call must be sent, not dropped or
+ * aborted. */
 #include "testing.h"
 
 #include "net/free_port.h"
@@ -7,7 +8,7 @@
 
 #include <string.h>
 
-/** Turns of the loop, each at most 10 ms long, after which an answer is no more expected. */
+/** Iterations of the loop, at most 10 ms each, after which no response is expected. */
 #define MAX_LOOP_ITERATIONS 200
 
 struct fixture {
@@ -95,7 +96,8 @@
     assert_int_equal(fixture.broken, 1);
     run_until(&fixture, is_answered);
     assert_int_equal(fixture.answered, 1);
-    service_reply(fixture.deferred, 404, NULL, NULL, 0); /* its connection is gone */
+    service_reply(fixture.deferred, 404, NULL, NULL,
+                  0); /* its connection is closed; this frees the call */
     http_caller_destroy(fixture.caller);
     run_until(&fixture, is_never_done);
     uv_close((uv_handle_t *)&wake, NULL);
--- a/tests/net/http_message_test.c
+++ b/tests/net/http_message_test.c
@@ -1,4 +1,4 @@
-/* Messages out of bytes that come in any pieces. */
+/* Incremental parsing of HTTP messages from fragments of any size. */
 #include "testing.h"
 
 #include "net/http_message.h"
@@ -96,7 +96,7 @@
                                0, 8),
                      HTTP_PARSE_BODY_TOO_LARGE);
     assert_int_equal(result_of("no http at all\r\n\r\n", 0, 0), HTTP_PARSE_MALFORMED);
-    /* Two lengths: what is behind could be smuggled. */
+    /* Conflicting lengths would allow request smuggling. */
     assert_int_equal(
         result_of("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 0, 0),
         HTTP_PARSE_MALFORMED);
--- a/tests/net/http_service_test.c
+++ b/tests/net/http_service_test.c
@@ -1,4 +1,4 @@
-/* Peers that are silent, or slow: whose connections the service closes, and whose it keeps. */
+/* Idle timeout: silent connections are closed, and connections that wait for a reply are not. */
 #include "testing.h"
 
 #include "free_port.h"
@@ -16,7 +16,7 @@
     uv_loop_t *loop;
     struct sockaddr_in address;
     struct http_service *service;
-    struct service_call *deferred_call; /* a call whose answer is still due */
+    struct service_call *deferred_call; /* a call without a reply yet */
 };
 
 static void on_call(void *context, struct service_call *call, const struct service_request *request)
@@ -49,7 +49,7 @@
     return peer;
 }
 
-/* Runs the service until the peer has read something. \return bytes, 0: its end */
+/* Runs the service until the peer can read. \return number of bytes, 0 at end of file */
 static ssize_t read_from_service(struct server *server, int peer, char *bytes, size_t size)
 {
     ssize_t count;
--- a/tests/net/key_ring_test.c
+++ b/tests/net/key_ring_test.c
@@ -1,3 +1,4 @@
+/* Key files: slots, the active slot, and findings that never reveal keys. */
 #include "testing.h"
 
 #include "net/key_ring.h"
--- a/tests/net/tcp_stream_test.c
+++ b/tests/net/tcp_stream_test.c
@@ -1,4 +1,5 @@
-/* How a connection ended: a reset right behind the last bytes is no orderly end. */
+/* TCP streams: a reset directly after the last bytes must not be reported as an orderly close, and
+ * an HTTP response must stay valid during its callback. */
 #include "testing.h"
 
 #include "net/http_caller.h"
@@ -50,7 +51,7 @@
 static const struct tcp_stream_callbacks callbacks = {
     .connected = on_connected, .received = on_received, .ended = on_ended};
 
-/* Bytes and the end arrive together before the loop looks. */
+/* The bytes and the close both arrive before the loop polls the socket. */
 static enum tcp_end end_after(bool reset)
 {
     struct peer peer;
@@ -82,7 +83,7 @@
     assert_int_equal(end_after(true), TCP_END_RESET);
 }
 
-/* --- a caller whose callback makes the next call -------------------------------------------------
+/* ---- HTTP client whose callback sends the next call ----
  */
 
 struct calls {
@@ -116,7 +117,7 @@
     struct calls *calls = context;
     assert_int_equal(result, CALL_COMPLETE);
     send_call(calls, on_second);
-    /* The answer is still whole: the next call has not begun to overwrite it. */
+    /* The response is still intact: the next call must not overwrite it. */
     assert_int_equal(message->body.size, 4);
     memcpy(calls->first, message->body.data, 4);
     calls->answers++;
