--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -11,6 +11,7 @@
 #include <string.h>
 
 #define PACED_BLOCK_BYTES 32768
+#define STREAM_BLOCK_BYTES 16384
 #define MAX_REPLY_HEADERS 12
 #define HEADER_VALUE_SIZE 768
 #define IDLE_TIMEOUT_SECONDS 60
@@ -243,8 +244,8 @@
 /* Called after http_stream_begin(), which fixed the status and the headers. */
 static enum MHD_Result queue_stream(struct http_exchange *exchange)
 {
-    struct MHD_Response *response =
-        MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 16384, read_stream, exchange, NULL);
+    struct MHD_Response *response = MHD_create_response_from_callback(
+        MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream, exchange, NULL);
     MHD_add_response_header(response, "Content-Type", exchange->content_type);
     for (size_t i = 0; i < exchange->header_count; i++)
         MHD_add_response_header(response, exchange->headers[i].name, exchange->headers[i].value);
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -12,6 +12,7 @@
 #include <zmq.h>
 
 #define CONNECT_TIMEOUT_MS 1000L
+#define DEFAULT_TICK_US 50000
 
 struct posted_call {
     ck_stack_entry_t link;
@@ -61,7 +62,7 @@
 {
     struct loop *loop = memory_calloc(1, sizeof *loop);
     loop->multi = curl_multi_init();
-    loop->tick_us = 50000;
+    loop->tick_us = DEFAULT_TICK_US;
     loop->next_number = 1;
     ck_stack_init(&loop->posted_calls);
     return loop;
