--- a/src/cluster/store_reader.c
+++ b/src/cluster/store_reader.c
@@ -114,27 +114,28 @@
         call_store(reader);
 }
 
-static enum store_failure failure_from_result(enum call_result result)
+static enum store_failure failure_from_result(enum http_call_result result)
 {
     switch (result) {
     case CALL_BROKEN:
         return STORE_DISCONNECTED;
-    case CALL_SILENT:
+    case CALL_TIMED_OUT:
         return STORE_TIMED_OUT;
     default:
         return STORE_UNAVAILABLE;
     }
 }
 
-static void on_response(void *context, enum call_result result, const struct http_message *message)
+static void on_response(void *context, enum http_call_result result,
+                        const struct http_message *message)
 {
     struct store_reader *reader = context;
     struct store_response answer;
     char reason[64];
     if (reader->duty == READER_INACTIVE)
         return;
-    if (result != CALL_ANSWERED) {
-        on_failure(reader, failure_from_result(result), call_result_name(result));
+    if (result != CALL_COMPLETE) {
+        on_failure(reader, failure_from_result(result), http_call_result_name(result));
         return;
     }
     unsigned status = http_message_status(message);
@@ -163,11 +164,11 @@
     struct buffer target = {0};
     store_watch_advance(&reader->watch, state_cache_revision(reader->cluster->state));
     struct store_call call = store_watch_next_call(&reader->watch);
-    struct caller_request request = {.method = "GET",
-                                     .timeout_ms = call.timeout_ms,
-                                     .body_limit = MAX_RESPONSE_BYTES,
-                                     .done = on_response,
-                                     .context = reader};
+    struct http_caller_request request = {.method = "GET",
+                                          .timeout_ms = call.timeout_ms,
+                                          .body_limit = MAX_RESPONSE_BYTES,
+                                          .done = on_response,
+                                          .context = reader};
     if (call.watches)
         platform_write_watch_target(PLATFORM_ALL_KEYS, reader->watch.revision, call.wait_ms,
                                     &target);
@@ -183,7 +184,7 @@
 
 struct store_reader *store_reader_create(struct cluster *cluster)
 {
-    struct store_reader *reader = memory_zero(1, sizeof *reader);
+    struct store_reader *reader = memory_calloc(1, sizeof *reader);
     reader->cluster = cluster;
     if (!tcp_address_parse(cluster->settings->store_address, &reader->address)) {
         log_event(LOG_LEVEL_ERROR, "store", "bad-address", "address=%s",
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -33,7 +33,7 @@
                          enum machine_role role, uint64_t seed, uint64_t now,
                          const struct node_driver *driver)
 {
-    struct node *node = memory_zero(1, sizeof *node);
+    struct node *node = memory_calloc(1, sizeof *node);
     node->settings = *settings;
     node->driver = *driver;
     node->random.seed = seed;
@@ -159,7 +159,7 @@
     enum status status = document_accept(&reader->document, revision, body, size);
     assert(status == STATUS_OK);
     clear_config(node);
-    node->config = memory_copy(&config, sizeof config);
+    node->config = memory_duplicate(&config, sizeof config);
     node->policy = policy;
     recompute_placement(node);
     node_peers_push(node, now);
@@ -211,7 +211,7 @@
     if (revision <= node->pending_config.revision)
         return;
     free(node->pending_config.body);
-    node->pending_config = (struct document_version){revision, memory_copy(body, size), size};
+    node->pending_config = (struct document_version){revision, memory_duplicate(body, size), size};
 }
 
 static void handle_document(struct node *node, uint64_t now, Shuntrun__DocumentKind kind,
--- a/src/core/swarm_assignments.c
+++ b/src/core/swarm_assignments.c
@@ -20,7 +20,7 @@
     if (swarm->assignment_count == *capacity) {
         *capacity = *capacity ? 2 * *capacity : 32;
         swarm->assignments =
-            memory_resize(swarm->assignments, *capacity * sizeof *swarm->assignments);
+            memory_realloc(swarm->assignments, *capacity * sizeof *swarm->assignments);
     }
     struct read_assignment *assignment = &swarm->assignments[swarm->assignment_count++];
     *assignment = (struct read_assignment){.chunk = chunk, .position = (uint8_t)position};
@@ -76,7 +76,7 @@
     if (is_unresponsive(swarm, id))
         return;
     swarm->unresponsive =
-        memory_resize(swarm->unresponsive, (swarm->unresponsive_count + 1) * sizeof(uint64_t));
+        memory_realloc(swarm->unresponsive, (swarm->unresponsive_count + 1) * sizeof(uint64_t));
     swarm->unresponsive[swarm->unresponsive_count++] = id;
 }
 
--- a/src/weights/piece_fetch.c
+++ b/src/weights/piece_fetch.c
@@ -71,14 +71,15 @@
 
 /* --- manifest --------------------------------------------------------------------------------- */
 
-static void on_manifest(void *context, enum call_result result, const struct http_message *message)
+static void on_manifest(void *context, enum http_call_result result,
+                        const struct http_message *message)
 {
     struct piece_connection *connection = context;
     struct piece_fetch *fetch = connection->owner;
     uint64_t now = cluster_now();
     connection->busy = false;
     fetch->manifest_requested = false;
-    unsigned status = result == CALL_ANSWERED ? http_message_status(message) : 0;
+    unsigned status = result == CALL_COMPLETE ? http_message_status(message) : 0;
     if (status != 200) {
         if (status == HTTP_STATUS_NOT_READY)
             on_not_ready(connection, now);
@@ -122,12 +123,12 @@
         piece_wire_write_manifest(piece_set_model(fetch->set), piece_set_version(fetch->set),
                                   &target);
     }
-    struct caller_request request = {.method = "GET",
-                                     .target = target.data,
-                                     .timeout_ms = CALL_TIMEOUT_MS,
-                                     .body_limit = MANIFEST_RESPONSE_MAX_BYTES,
-                                     .done = on_manifest,
-                                     .context = connection};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target.data,
+                                          .timeout_ms = CALL_TIMEOUT_MS,
+                                          .body_limit = MANIFEST_RESPONSE_MAX_BYTES,
+                                          .done = on_manifest,
+                                          .context = connection};
     connection->busy = true;
     connection->requested_at = now;
     fetch->manifest_requested = true;
@@ -178,13 +179,14 @@
     fetch->callbacks.piece_received(fetch->callbacks.context, piece);
 }
 
-static void on_piece(void *context, enum call_result result, const struct http_message *message)
+static void on_piece(void *context, enum http_call_result result,
+                     const struct http_message *message)
 {
     struct piece_connection *connection = context;
     uint64_t now = cluster_now();
     connection->busy = false;
-    if (result != CALL_ANSWERED)
-        on_source_failure(connection, call_result_name(result), now);
+    if (result != CALL_COMPLETE)
+        on_source_failure(connection, http_call_result_name(result), now);
     else if (http_message_status(message) == HTTP_STATUS_NOT_READY)
         on_not_ready(connection, now);
     else if (http_message_status(message) != 200)
@@ -236,12 +238,12 @@
         piece_wire_write_piece(piece_set_model(fetch->set), piece_set_version(fetch->set), wanted,
                                count, &target);
     }
-    struct caller_request request = {.method = "GET",
-                                     .target = target.data,
-                                     .timeout_ms = CALL_TIMEOUT_MS,
-                                     .body_limit = PIECE_RESPONSE_MAX_BYTES,
-                                     .done = on_piece,
-                                     .context = connection};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = target.data,
+                                          .timeout_ms = CALL_TIMEOUT_MS,
+                                          .body_limit = PIECE_RESPONSE_MAX_BYTES,
+                                          .done = on_piece,
+                                          .context = connection};
     connection->busy = true;
     connection->requested_at = now;
     http_caller_send(connection->caller, &request);
@@ -276,7 +278,7 @@
                                        enum piece_role role,
                                        const struct piece_fetch_callbacks *callbacks)
 {
-    struct piece_fetch *fetch = memory_zero(1, sizeof *fetch);
+    struct piece_fetch *fetch = memory_calloc(1, sizeof *fetch);
     fetch->set = set;
     fetch->callbacks = *callbacks;
     fetch->sources = piece_sources_create(cluster, set, role, fetch);
--- a/src/weights/piece_sources.c
+++ b/src/weights/piece_sources.c
@@ -50,7 +50,7 @@
 struct piece_sources *piece_sources_create(struct cluster *cluster, const struct piece_set *set,
                                            enum piece_role role, void *owner)
 {
-    struct piece_sources *sources = memory_zero(1, sizeof *sources);
+    struct piece_sources *sources = memory_calloc(1, sizeof *sources);
     sources->cluster = cluster;
     sources->set = set;
     sources->role = role;
@@ -89,10 +89,10 @@
     for (uint32_t i = 0; i < sources->count; i++)
         if (sources->items[i]->address == address)
             return sources->items[i];
-    struct piece_source *source = memory_zero(1, sizeof *source);
+    struct piece_source *source = memory_calloc(1, sizeof *source);
     source->address = address;
     sources->items =
-        memory_resize(sources->items, (sources->count + 1) * sizeof(struct piece_source *));
+        memory_realloc(sources->items, (sources->count + 1) * sizeof(struct piece_source *));
     sources->items[sources->count++] = source;
     return source;
 }
@@ -106,7 +106,7 @@
     struct sockaddr_in address = source->address == RELAY_ORIGIN
                                      ? sources->origin
                                      : cluster_address(sources->cluster, source->address);
-    connection = memory_zero(1, sizeof *connection);
+    connection = memory_calloc(1, sizeof *connection);
     connection->owner = sources->owner;
     connection->source = source;
     connection->index = index;
@@ -144,8 +144,8 @@
     bool relays = sources->role == PIECE_ROLE_RELAY;
     sources->candidates_count = relays && manifest ? manifest->count : 1;
     sources->includes_origin = since_progress_us > ORIGIN_FALLBACK_US;
-    sources->candidates =
-        memory_resize(sources->candidates, sources->candidates_count * sizeof *sources->candidates);
+    sources->candidates = memory_realloc(sources->candidates,
+                                         sources->candidates_count * sizeof *sources->candidates);
     for (uint32_t i = 0; relays && i < sources->candidates_count; i++)
         relay_plan_relay_sources(&sources->plan, i, &sources->candidates[i]);
     if (relays)
@@ -226,7 +226,7 @@
     bool is_silent = connection->busy && now > connection->requested_at + FIRST_BYTE_TIMEOUT_US &&
                      !http_caller_is_receiving(connection->caller);
     if (connection->source->address == RELAY_ORIGIN)
-        http_caller_rest(connection->caller, ORIGIN_IDLE_TIMEOUT_US);
+        http_caller_close_idle(connection->caller, ORIGIN_IDLE_TIMEOUT_US);
     else if (is_silent)
         http_caller_abort(connection->caller);
 }
--- a/src/weights/weight_relay.c
+++ b/src/weights/weight_relay.c
@@ -38,7 +38,7 @@
 
 struct weight_relay *weight_relay_create(struct cluster *cluster)
 {
-    struct weight_relay *relay = memory_zero(1, sizeof *relay);
+    struct weight_relay *relay = memory_calloc(1, sizeof *relay);
     relay->cluster = cluster;
     return relay;
 }
@@ -91,7 +91,7 @@
                                            uint64_t number)
 {
     evict_version(relay);
-    struct relayed_version *version = memory_zero(1, sizeof *version);
+    struct relayed_version *version = memory_calloc(1, sizeof *version);
     struct piece_fetch_callbacks callbacks = {version, on_manifest_received, on_piece_received};
     double link = strtod(relay->cluster->settings->link_mbit, NULL);
     version->set = piece_set_create(model, number);
--- a/tests/net/tcp_stream_test.c
+++ b/tests/net/tcp_stream_test.c
@@ -1,4 +1,5 @@
-/* How a connection ended: a reset right behind the last bytes is no orderly end. */
+/* TCP streams: a reset directly after the last bytes must not be reported as an orderly close, and
+ * an HTTP response must stay valid during its callback. */
 #include "testing.h"
 
 #include "net/http_caller.h"
@@ -50,7 +51,7 @@
 static const struct tcp_stream_callbacks callbacks = {
     .connected = on_connected, .received = on_received, .ended = on_ended};
 
-/* Bytes and the end arrive together before the loop looks. */
+/* The bytes and the close both arrive before the loop polls the socket. */
 static enum tcp_end end_after(bool reset)
 {
     struct peer peer;
@@ -76,13 +77,13 @@
     return peer.end;
 }
 
-static void a_reset_is_told_from_an_end(void **state)
+static void reset_is_distinguished_from_orderly_close(void **state)
 {
     assert_int_equal(end_after(false), TCP_END_ORDERLY);
     assert_int_equal(end_after(true), TCP_END_RESET);
 }
 
-/* --- a caller whose callback makes the next call -------------------------------------------------
+/* ---- HTTP client whose callback sends the next call ----
  */
 
 struct calls {
@@ -91,36 +92,38 @@
     int answers;
 };
 
-static void on_second(void *context, enum call_result result, const struct http_message *message)
+static void on_second(void *context, enum http_call_result result,
+                      const struct http_message *message)
 {
     struct calls *calls = context;
-    assert_int_equal(result, CALL_ANSWERED);
+    assert_int_equal(result, CALL_COMPLETE);
     calls->answers++;
 }
 
-static void send_call(struct calls *calls, call_done *done)
+static void send_call(struct calls *calls, http_call_done *done)
 {
-    struct caller_request request = {.method = "GET",
-                                     .target = "/",
-                                     .timeout_ms = 5000,
-                                     .body_limit = 100,
-                                     .done = done,
-                                     .context = calls};
+    struct http_caller_request request = {.method = "GET",
+                                          .target = "/",
+                                          .timeout_ms = 5000,
+                                          .body_limit = 100,
+                                          .done = done,
+                                          .context = calls};
     http_caller_send(calls->caller, &request);
 }
 
-static void on_first(void *context, enum call_result result, const struct http_message *message)
+static void on_first(void *context, enum http_call_result result,
+                     const struct http_message *message)
 {
     struct calls *calls = context;
-    assert_int_equal(result, CALL_ANSWERED);
+    assert_int_equal(result, CALL_COMPLETE);
     send_call(calls, on_second);
-    /* The answer is still whole: the next call has not begun to overwrite it. */
+    /* The response is still intact: the next call must not overwrite it. */
     assert_int_equal(message->body.size, 4);
     memcpy(calls->first, message->body.data, 4);
     calls->answers++;
 }
 
-static void an_answer_lasts_for_its_callback(void **state)
+static void response_stays_valid_during_its_callback(void **state)
 {
     struct peer peer;
     struct calls calls = {0};
@@ -150,8 +153,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_reset_is_told_from_an_end),
-        cmocka_unit_test(an_answer_lasts_for_its_callback),
+        cmocka_unit_test(reset_is_distinguished_from_orderly_close),
+        cmocka_unit_test(response_stays_valid_during_its_callback),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -97,7 +97,7 @@
     size_t used;
     memset(message, 0, sizeof *message);
     http_message_begin(message, HTTP_MESSAGE_REQUEST);
-    assert_int_equal(http_message_feed(message, text, strlen(text), &used), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_parse(message, text, strlen(text), &used), HTTP_PARSE_DONE);
 }
 
 static bool contains(const struct buffer *bytes, const char *text)
@@ -195,7 +195,7 @@
     struct buffer bytes = {0};
     size_t used;
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    http_message_feed(&message, text, strlen(text), &used);
+    http_message_parse(&message, text, strlen(text), &used);
     platform_read_response(&message, &head);
     assert_true(head.properties.not_executed);
     assert_false(head.properties.sealed);
@@ -219,7 +219,7 @@
     size_t used;
     snprintf(text, sizeof text, "HTTP/1.1 %s\r\n%sContent-Length: 0\r\n\r\n", status, fields);
     http_message_begin(&message, HTTP_MESSAGE_RESPONSE);
-    assert_int_equal(http_message_feed(&message, text, strlen(text), &used), HTTP_PARSE_DONE);
+    assert_int_equal(http_message_parse(&message, text, strlen(text), &used), HTTP_PARSE_DONE);
     platform_read_response(&message, &head);
     http_message_clear(&message);
     return head;
