--- a/src/tool/answer_check.c
+++ b/src/tool/answer_check.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_LINE 65536
+#define MAX_LINE_BYTES 65536
 
 const char *answer_verdict_name(enum answer_verdict verdict)
 {
@@ -18,30 +18,31 @@
     return names[verdict];
 }
 
-static void take_token(struct answer_check *check, uint64_t index, const char *text)
+static void check_token(struct answer_check *check, uint64_t index, const char *text)
 {
     char expected[16];
     if (index < check->tokens)
         check->doubled = true;
     else if (index > check->tokens)
-        check->skipped = true;
+        check->missing = true;
     snprintf(expected, sizeof expected, "%06" PRIx64, hash_pair(check->seed, index) & 0xffffff);
     if (check->verify_tokens && (!text || strcmp(text, expected) != 0))
         check->mixed = true;
     check->tokens++;
 }
 
-static void take_end(struct answer_check *check, const char *end, const char *outcome)
+static void check_end_line(struct answer_check *check, const char *end, const char *outcome)
 {
     check->ended = true;
     if (strcmp(end, "done") == 0)
-        check->end = ANSWER_DONE;
+        check->end_verdict = ANSWER_DONE;
     else
-        check->end = outcome && strcmp(outcome, "not-run") == 0 ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
+        check->end_verdict =
+            outcome && strcmp(outcome, "not-run") == 0 ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
 }
 
 /* \return whether the line is a token */
-static bool take_line(struct answer_check *check, const char *line, size_t size)
+static bool check_line(struct answer_check *check, const char *line, size_t size)
 {
     json_t *root = json_loadb(line, size, 0, NULL);
     const json_t *index = json_object_get(root, "i");
@@ -49,16 +50,16 @@
     const char *digest = json_string_value(json_object_get(root, "digest"));
     bool token = json_is_integer(index);
     if (token) {
-        take_token(check, (uint64_t)json_integer_value(index),
-                   json_string_value(json_object_get(root, "t")));
+        check_token(check, (uint64_t)json_integer_value(index),
+                    json_string_value(json_object_get(root, "t")));
     } else if (digest) {
         const char *version = json_string_value(json_object_get(root, "version"));
-        check->mixed |= check->named; /* a second head */
-        check->named = true;
+        check->mixed |= check->has_version; /* a second head */
+        check->has_version = true;
         check->seed = hash_pair(hash_name(digest), hash_name(check->prompt));
         snprintf(check->version, sizeof check->version, "%s", version ? version : "");
     } else if (end) {
-        take_end(check, end, json_string_value(json_object_get(root, "outcome")));
+        check_end_line(check, end, json_string_value(json_object_get(root, "outcome")));
     }
     json_decref(root);
     return token;
@@ -67,7 +68,7 @@
 uint32_t answer_check_data(struct answer_check *check, const uint8_t *data, size_t size)
 {
     uint32_t tokens = 0;
-    if (check->line_size + size > MAX_LINE)
+    if (check->line_size + size > MAX_LINE_BYTES)
         return 0;
     check->line = memory_resize(check->line, check->line_size + size);
     memcpy(check->line + check->line_size, data, size);
@@ -76,7 +77,7 @@
     for (size_t i = 0; i < check->line_size; i++) {
         if (check->line[i] != '\n')
             continue;
-        tokens += take_line(check, check->line + start, i + 1 - start);
+        tokens += check_line(check, check->line + start, i + 1 - start);
         start = i + 1;
     }
     check->line_size -= start;
@@ -92,10 +93,10 @@
         return ANSWER_DOUBLED;
     if (!check->ended)
         return ANSWER_LOST;
-    bool whole = check->tokens == check->wanted_tokens && !check->skipped && check->named;
-    if (check->end == ANSWER_DONE && !whole)
+    bool whole = check->tokens == check->expected_tokens && !check->missing && check->has_version;
+    if (check->end_verdict == ANSWER_DONE && !whole)
         return ANSWER_CUT;
-    return check->end;
+    return check->end_verdict;
 }
 
 void answer_check_clear(struct answer_check *check)
--- a/src/tool/answer_check.h
+++ b/src/tool/answer_check.h
@@ -23,17 +23,17 @@
 
 struct answer_check {
     const char *prompt;
-    uint64_t wanted_tokens;
+    uint64_t expected_tokens;
     bool verify_tokens; /**< tokens are those of the engine stand-in */
     uint64_t seed;
     char version[64];
-    bool named; /**< the first line named a version */
+    bool has_version; /**< the first line named a version */
     uint64_t tokens;
     bool doubled;
     bool mixed;
-    bool skipped;
+    bool missing;
     bool ended;
-    enum answer_verdict end; /**< of the last line */
+    enum answer_verdict end_verdict; /**< of the last line */
     char *line;
     size_t line_size;
 };
--- a/src/tool/burn.c
+++ b/src/tool/burn.c
@@ -10,7 +10,7 @@
 
 /* ---- reading metrics ---- */
 
-static json_t *row_of(json_t *rows, const char *service, const char *tenant)
+static json_t *find_or_add_row(json_t *rows, const char *service, const char *tenant)
 {
     size_t index;
     json_t *row;
@@ -26,7 +26,7 @@
     return row;
 }
 
-static void take_outcome(json_t *rows, const char *line)
+static void parse_outcome(json_t *rows, const char *line)
 {
     char service[LABEL_SIZE];
     char tenant[LABEL_SIZE];
@@ -40,10 +40,10 @@
         return;
     if (strcmp(outcome, "not-run") == 0)
         strcpy(outcome, "not_run");
-    json_object_set_new(row_of(rows, service, tenant), outcome, json_integer(count));
+    json_object_set_new(find_or_add_row(rows, service, tenant), outcome, json_integer(count));
 }
 
-static void take_bucket(json_t *rows, const char *line)
+static void parse_bucket(json_t *rows, const char *line)
 {
     char service[LABEL_SIZE];
     char tenant[LABEL_SIZE];
@@ -55,7 +55,7 @@
                         service, tenant, bound, &count);
     if (fields != 4)
         return;
-    json_array_append_new(json_object_get(row_of(rows, service, tenant), "first_token"),
+    json_array_append_new(json_object_get(find_or_add_row(rows, service, tenant), "first_token"),
                           json_integer(count));
 }
 
@@ -63,8 +63,8 @@
 {
     json_t *rows = json_array();
     for (const char *line = text; line && *line;) {
-        take_outcome(rows, line);
-        take_bucket(rows, line);
+        parse_outcome(rows, line);
+        parse_bucket(rows, line);
         line = strchr(line, '\n');
         line += line != NULL;
     }
@@ -74,19 +74,19 @@
 /* ---- working out ---- */
 
 /* Sums of one node's rows that an objective covers. */
-struct sums {
+struct objective_counts {
     uint64_t requests;
     uint64_t bad;
     uint64_t first_tokens;
     uint64_t slow;
 };
 
-static uint64_t number_of(const json_t *row, const char *key)
+static uint64_t get_count(const json_t *row, const char *key)
 {
     return (uint64_t)json_integer_value(json_object_get(row, key));
 }
 
-static void add_first_tokens(const json_t *row, uint32_t bound_ms, struct sums *sums)
+static void add_first_tokens(const json_t *row, uint32_t bound_ms, struct objective_counts *counts)
 {
     const json_t *buckets = json_object_get(row, "first_token");
     uint32_t within = 0;
@@ -94,13 +94,14 @@
         within++;
     uint64_t all = (uint64_t)json_integer_value(json_array_get(buckets, FIRST_TOKEN_BUCKETS));
     uint64_t good = (uint64_t)json_integer_value(json_array_get(buckets, within));
-    sums->first_tokens += all;
-    sums->slow += all - good;
+    counts->first_tokens += all;
+    counts->slow += all - good;
 }
 
-static struct sums sum_node(const json_t *node, const struct objective_config *objective)
+static struct objective_counts sum_node_rows(const json_t *node,
+                                             const struct objective_config *objective)
 {
-    struct sums sums = {0};
+    struct objective_counts counts = {0};
     size_t index;
     json_t *row;
     json_array_foreach(json_object_get(node, "rows"), index, row)
@@ -111,39 +112,39 @@
                        (!objective->tenant[0] || strcmp(tenant, objective->tenant) == 0);
         if (!covered)
             continue;
-        uint64_t bad = number_of(row, "not_run") + number_of(row, "unknown");
-        sums.bad += bad;
-        sums.requests += number_of(row, "done") + bad;
-        add_first_tokens(row, objective->first_token_ms, &sums);
+        uint64_t bad = get_count(row, "not_run") + get_count(row, "unknown");
+        counts.bad += bad;
+        counts.requests += get_count(row, "done") + bad;
+        add_first_tokens(row, objective->first_token_ms, &counts);
     }
-    return sums;
+    return counts;
 }
 
-static uint64_t gained(uint64_t now, uint64_t then)
+static uint64_t counter_increase(uint64_t now, uint64_t then)
 {
     return now >= then ? now - then : now;
 }
 
-static struct burn_step step_between(const json_t *before, const json_t *after,
-                                     const struct objective_config *objective)
+static struct burn_interval interval_between(const json_t *before, const json_t *after,
+                                             const struct objective_config *objective)
 {
-    struct burn_step step = {0};
+    struct burn_interval interval = {0};
     const char *name;
     json_t *node;
     json_object_foreach(json_object_get(after, "nodes"), name, node)
     {
         const json_t *old = json_object_get(json_object_get(before, "nodes"), name);
-        struct sums now = sum_node(node, objective);
-        struct sums then = sum_node(old, objective);
+        struct objective_counts now = sum_node_rows(node, objective);
+        struct objective_counts then = sum_node_rows(old, objective);
         bool restarted = now.requests < then.requests;
         if (restarted)
-            then = (struct sums){0};
-        step.requests += gained(now.requests, then.requests);
-        step.bad += gained(now.bad, then.bad);
-        step.first_tokens += gained(now.first_tokens, then.first_tokens);
-        step.slow += gained(now.slow, then.slow);
+            then = (struct objective_counts){0};
+        interval.requests += counter_increase(now.requests, then.requests);
+        interval.bad += counter_increase(now.bad, then.bad);
+        interval.first_tokens += counter_increase(now.first_tokens, then.first_tokens);
+        interval.slow += counter_increase(now.slow, then.slow);
     }
-    return step;
+    return interval;
 }
 
 static double burn_rate(uint64_t bad, uint64_t all, double allowed)
@@ -157,18 +158,18 @@
     uint64_t bad = 0;
     uint64_t first_tokens = 0;
     uint64_t slow = 0;
-    double end = burn->step_count ? burn->steps[burn->step_count - 1].seconds : 0;
-    for (uint32_t i = 0; i < burn->step_count; i++) {
-        const struct burn_step *step = &burn->steps[i];
-        if (step->seconds <= end - seconds)
+    double end = burn->interval_count ? burn->intervals[burn->interval_count - 1].seconds : 0;
+    for (uint32_t i = 0; i < burn->interval_count; i++) {
+        const struct burn_interval *interval = &burn->intervals[i];
+        if (interval->seconds <= end - seconds)
             continue;
-        window.requests += step->requests;
-        bad += step->bad;
-        first_tokens += step->first_tokens;
-        slow += step->slow;
+        window.requests += interval->requests;
+        bad += interval->bad;
+        first_tokens += interval->first_tokens;
+        slow += interval->slow;
     }
     window.availability_burn = burn_rate(bad, window.requests, 1 - burn->objective.availability);
-    window.latency_burn = burn_rate(slow, first_tokens, 1 - BURN_LATENCY_SHARE);
+    window.latency_burn = burn_rate(slow, first_tokens, 1 - BURN_LATENCY_TARGET);
     return window;
 }
 
@@ -178,16 +179,17 @@
     struct burn_objective burn = {.objective = *objective};
     size_t count = json_array_size(samples);
     double first = json_number_value(json_object_get(json_array_get(samples, 0), "time_ms"));
-    burn.steps = memory_zero(count, sizeof *burn.steps);
+    burn.intervals = memory_zero(count, sizeof *burn.intervals);
     for (size_t i = 1; i < count; i++) {
         const json_t *after = json_array_get(samples, i);
-        struct burn_step step = step_between(json_array_get(samples, i - 1), after, objective);
-        step.seconds = (json_number_value(json_object_get(after, "time_ms")) - first) / 1000;
-        burn.steps[burn.step_count++] = step;
-        burn.requests += step.requests;
-        burn.bad += step.bad;
-        burn.first_tokens += step.first_tokens;
-        burn.slow += step.slow;
+        struct burn_interval interval =
+            interval_between(json_array_get(samples, i - 1), after, objective);
+        interval.seconds = (json_number_value(json_object_get(after, "time_ms")) - first) / 1000;
+        burn.intervals[burn.interval_count++] = interval;
+        burn.requests += interval.requests;
+        burn.bad += interval.bad;
+        burn.first_tokens += interval.first_tokens;
+        burn.slow += interval.slow;
     }
     burn.budget_left = 1 - burn_rate(burn.bad, burn.requests, 1 - objective->availability);
     for (uint32_t i = 0; i < window_count && i < BURN_MAX_WINDOWS; i++)
@@ -197,6 +199,6 @@
 
 void burn_clear(struct burn_objective *burn)
 {
-    free(burn->steps);
+    free(burn->intervals);
     *burn = (struct burn_objective){0};
 }
--- a/src/tool/burn.h
+++ b/src/tool/burn.h
@@ -14,10 +14,10 @@
 #include <jansson.h>
 
 #define BURN_MAX_WINDOWS 4
-#define BURN_LATENCY_SHARE 0.95 /**< of first tokens that must come within the objective */
+#define BURN_LATENCY_TARGET 0.95 /**< of first tokens that must come within the objective */
 
 /** What happened to one objective between two samples. */
-struct burn_step {
+struct burn_interval {
     double seconds; /**< end, from the first sample on */
     uint64_t requests;
     uint64_t bad; /**< not run or unknown */
@@ -34,8 +34,8 @@
 
 struct burn_objective {
     struct objective_config objective;
-    struct burn_step *steps; /**< owned */
-    uint32_t step_count;
+    struct burn_interval *intervals; /**< owned */
+    uint32_t interval_count;
     uint64_t requests;
     uint64_t bad;
     uint64_t first_tokens;
--- a/src/tool/check.c
+++ b/src/tool/check.c
@@ -30,7 +30,7 @@
 }
 
 /* A machine to try a policy out on when no list is given. */
-static struct fleet sample_fleet(void)
+static struct fleet placeholder_fleet(void)
 {
     struct fleet fleet = {memory_zero(1, sizeof *fleet.machines), 1};
     struct machine *machine = &fleet.machines[0];
@@ -42,8 +42,8 @@
 }
 
 /* Call every function of the policy once for each model, machine and tenant. */
-static void try_policy(struct policy *policy, const struct fleet_config *config,
-                       const struct fleet *fleet, struct findings *findings)
+static void dry_run_policy(struct policy *policy, const struct fleet_config *config,
+                           const struct fleet *fleet, struct findings *findings)
 {
     struct placement placement = placement_compute(config, fleet, policy, findings);
     struct fleet_summary summary = fleet_summarize(fleet);
@@ -63,7 +63,8 @@
         policy_may_leave(policy, &fleet->machines[i], &summary, findings);
 }
 
-static struct fleet_config sample_config(struct model_config *model, struct tenant_config *tenant)
+static struct fleet_config placeholder_config(struct model_config *model,
+                                              struct tenant_config *tenant)
 {
     *model = (struct model_config){.name = "sample", .version = "v1", .accelerators = 1};
     *tenant = (struct tenant_config){.name = "sample", .weight = 1};
@@ -77,7 +78,7 @@
     size_t size;
     struct model_config model;
     struct tenant_config tenant;
-    struct fleet_config config = sample_config(&model, &tenant);
+    struct fleet_config config = placeholder_config(&model, &tenant);
     if (tool_read_file(path, &text, &size) != STATUS_OK) {
         findings_add(findings, FINDING_ERROR, path, "%s", status_message());
         return;
@@ -85,7 +86,7 @@
     struct policy *policy = policy_create(path, text, findings);
     free(text);
     if (policy)
-        try_policy(policy, &config, fleet, findings);
+        dry_run_policy(policy, &config, fleet, findings);
     policy_destroy(policy);
 }
 
@@ -94,11 +95,11 @@
     struct tool_config config;
     struct model_config model;
     struct tenant_config tenant;
-    struct fleet_config sample = sample_config(&model, &tenant);
-    bool good = tool_read_config(path, &config, findings) == STATUS_OK;
+    struct fleet_config sample = placeholder_config(&model, &tenant);
+    bool valid = tool_read_config(path, &config, findings) == STATUS_OK;
     /* The policy of a configuration with errors is tried out all the same. */
     if (config.policy)
-        try_policy(config.policy, good ? &config.config : &sample, fleet, findings);
+        dry_run_policy(config.policy, valid ? &config.config : &sample, fleet, findings);
     tool_clear_config(&config);
 }
 
@@ -184,7 +185,7 @@
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     if (!options.machines || tool_read_machines(options.machines, &fleet, &findings) != STATUS_OK)
-        fleet = sample_fleet();
+        fleet = placeholder_fleet();
     for (uint32_t i = 0; i < options.file_count; i++)
         check_file(&options, options.files[i], &fleet, &findings);
     if (options.json)
--- a/src/tool/explain.c
+++ b/src/tool/explain.c
@@ -10,7 +10,7 @@
 #define KEY_OUTPUT 1000
 #define MAX_FILES 64
 #define READ_SIZE 65536
-#define FIELDS_MOST 40
+#define MAX_FIELDS 40
 
 /* One key=value pair of a line; not ended by zero. */
 struct log_field {
@@ -23,7 +23,7 @@
 struct log_line {
     const char *start;
     size_t length;
-    struct log_field fields[FIELDS_MOST];
+    struct log_field fields[MAX_FIELDS];
     uint32_t field_count;
 };
 
@@ -56,22 +56,22 @@
         return false;
     length -= (size_t)(start - text);
     *line = (struct log_line){.start = start, .length = length};
-    for (size_t place = 0; place < length && line->field_count < FIELDS_MOST;) {
-        const char *equals = memchr(start + place, '=', length - place);
+    for (size_t position = 0; position < length && line->field_count < MAX_FIELDS;) {
+        const char *equals = memchr(start + position, '=', length - position);
         if (!equals)
             break;
         struct log_field *field = &line->fields[line->field_count++];
-        field->name = start + place;
+        field->name = start + position;
         field->name_length = (size_t)(equals - field->name);
-        place = (size_t)(equals - start) + 1;
-        place += parse_value(start + place, length - place, field);
-        while (place < length && start[place] == ' ')
-            place++;
+        position = (size_t)(equals - start) + 1;
+        position += parse_value(start + position, length - position, field);
+        while (position < length && start[position] == ' ')
+            position++;
     }
     return line->field_count > 3;
 }
 
-static const struct log_field *field_of(const struct log_line *line, const char *name)
+static const struct log_field *find_field(const struct log_line *line, const char *name)
 {
     for (uint32_t i = 0; i < line->field_count; i++)
         if (line->fields[i].name_length == strlen(name) &&
@@ -80,16 +80,16 @@
     return NULL;
 }
 
-static bool field_is(const struct log_line *line, const char *name, const char *value)
+static bool field_equals(const struct log_line *line, const char *name, const char *value)
 {
-    const struct log_field *field = field_of(line, name);
+    const struct log_field *field = find_field(line, name);
     return field && field->value_length == strlen(value) &&
            memcmp(field->value, value, field->value_length) == 0;
 }
 
 static char *copy_field(const struct log_line *line, const char *name)
 {
-    const struct log_field *field = field_of(line, name);
+    const struct log_field *field = find_field(line, name);
     char *copy = memory_zero(field ? field->value_length + 1 : 1, 1);
     if (field)
         memcpy(copy, field->value, field->value_length);
@@ -112,60 +112,60 @@
     list->lines[list->count++] = *line;
 }
 
-static int by_time(const void *left, const void *right)
+static int compare_times(const void *left, const void *right)
 {
-    const struct log_field *a = field_of(left, "time");
-    const struct log_field *b = field_of(right, "time");
+    const struct log_field *a = find_field(left, "time");
+    const struct log_field *b = find_field(right, "time");
     size_t length = a->value_length < b->value_length ? a->value_length : b->value_length;
     return memcmp(a->value, b->value, length);
 }
 
-static void read_lines(const char *logs, size_t size, struct line_list *list)
+static void parse_lines(const char *logs, size_t size, struct line_list *list)
 {
-    for (size_t place = 0; place < size;) {
-        const char *end = memchr(logs + place, '\n', size - place);
-        size_t length = end ? (size_t)(end - logs) - place : size - place;
+    for (size_t position = 0; position < size;) {
+        const char *end = memchr(logs + position, '\n', size - position);
+        size_t length = end ? (size_t)(end - logs) - position : size - position;
         struct log_line line;
-        if (parse_line(logs + place, length, &line))
+        if (parse_line(logs + position, length, &line))
             add_line(list, &line);
-        place += length + 1;
+        position += length + 1;
     }
     if (list->count)
-        qsort(list->lines, list->count, sizeof *list->lines, by_time);
+        qsort(list->lines, list->count, sizeof *list->lines, compare_times);
 }
 
-static json_t *line_text(const struct log_line *line)
+static json_t *line_to_json(const struct log_line *line)
 {
     return json_stringn(line->start, line->length);
 }
 
 /* The last line of a kind, by the same node where `node` is not NULL, up to the end of the request.
  */
-static const struct log_line *last_before(const struct line_list *list, const struct log_line *end,
-                                          const char *subsystem, const char *event,
-                                          const char *node)
+static const struct log_line *find_last_line(const struct line_list *list,
+                                             const struct log_line *end_line, const char *subsystem,
+                                             const char *event, const char *node)
 {
     const struct log_line *found = NULL;
     for (uint32_t i = 0; i < list->count; i++) {
         const struct log_line *line = &list->lines[i];
-        if (by_time(line, end) > 0)
+        if (compare_times(line, end_line) > 0)
             break;
-        if (field_is(line, "subsystem", subsystem) && field_is(line, "event", event) &&
-            (!node || field_is(line, "node", node)))
+        if (field_equals(line, "subsystem", subsystem) && field_equals(line, "event", event) &&
+            (!node || field_equals(line, "node", node)))
             found = line;
     }
     return found;
 }
 
-static void add_belief(json_t *beliefs, const struct log_line *line)
+static void append_line(json_t *node_state, const struct log_line *line)
 {
     if (line)
-        json_array_append_new(beliefs, line_text(line));
+        json_array_append_new(node_state, line_to_json(line));
 }
 
 /* What the node knew: configuration, version of weights, members, store; and the back ends it
  * tried. */
-static json_t *collect_beliefs(const struct line_list *list, const struct log_line *end)
+static json_t *collect_node_state(const struct line_list *list, const struct log_line *end_line)
 {
     static const char *const kinds[][2] = {
         {"config", "accepted"}, {"weights", "version-named"}, {"cluster", "members"},
@@ -173,23 +173,23 @@
         {"process", "stop"},    {"cluster", "woke"},          {"crash", "ended"},
         {"backend", "leaving"}, {"backend", "backs-off"},
     };
-    json_t *beliefs = json_array();
-    char *node = copy_field(end, "node");
+    json_t *node_state = json_array();
+    char *node = copy_field(end_line, "node");
     for (size_t i = 0; i < sizeof kinds / sizeof kinds[0]; i++)
-        add_belief(beliefs, last_before(list, end, kinds[i][0], kinds[i][1], node));
-    const struct log_field *trail = field_of(end, "trail");
+        append_line(node_state, find_last_line(list, end_line, kinds[i][0], kinds[i][1], node));
+    const struct log_field *trail = find_field(end_line, "trail");
     for (uint32_t i = 0; trail && i < list->count; i++) {
         const struct log_line *line = &list->lines[i];
-        const struct log_field *id = field_of(line, "id");
-        if (by_time(line, end) > 0)
+        const struct log_field *id = find_field(line, "id");
+        if (compare_times(line, end_line) > 0)
             break;
-        if (id && id->value_length && field_is(line, "subsystem", "backend") &&
-            field_is(line, "node", node) &&
+        if (id && id->value_length && field_equals(line, "subsystem", "backend") &&
+            field_equals(line, "node", node) &&
             memmem(trail->value, trail->value_length, id->value, id->value_length))
-            json_array_append_new(beliefs, line_text(line));
+            json_array_append_new(node_state, line_to_json(line));
     }
     free(node);
-    return beliefs;
+    return node_state;
 }
 
 /* --- the sentence --------------------------------------------------------------------------------
@@ -227,7 +227,7 @@
     {"time-out", "the time of the client or the route was over"},
 };
 
-static const char *meaning_of(const char *reason)
+static const char *reason_meaning(const char *reason)
 {
     for (size_t i = 0; i < sizeof reasons / sizeof reasons[0]; i++)
         if (strcmp(reasons[i].name, reason) == 0)
@@ -235,22 +235,22 @@
     return "its log gives no known reason";
 }
 
-static const struct log_line *find_end(const struct line_list *list, const char *request)
+static const struct log_line *find_end_line(const struct line_list *list, const char *request)
 {
-    const struct log_line *end = NULL;
+    const struct log_line *end_line = NULL;
     for (uint32_t i = 0; i < list->count; i++)
-        if (field_is(&list->lines[i], "request", request))
-            end = &list->lines[i];
-    return end;
+        if (field_equals(&list->lines[i], "request", request))
+            end_line = &list->lines[i];
+    return end_line;
 }
 
-static char *write_sentence(const struct line_list *list, const struct log_line *end)
+static char *format_summary(const struct line_list *list, const struct log_line *end_line)
 {
     struct buffer text = {0};
-    char *node = copy_field(end, "node"), *event = copy_field(end, "event");
-    char *status = copy_field(end, "status"), *reason = copy_field(end, "reason");
-    char *took = copy_field(end, "took_ms"), *trail = copy_field(end, "trail");
-    char *events = copy_field(end, "events");
+    char *node = copy_field(end_line, "node"), *event = copy_field(end_line, "event");
+    char *status = copy_field(end_line, "status"), *reason = copy_field(end_line, "reason");
+    char *took = copy_field(end_line, "took_ms"), *trail = copy_field(end_line, "trail");
+    char *events = copy_field(end_line, "events");
     if (strcmp(event, "client-gone") == 0)
         buffer_append_format(&text, "The client left %s ms after its request reached %s.", took,
                              node);
@@ -258,16 +258,16 @@
         buffer_append_format(&text,
                              "%s broke off a stream after %s ms: %s (%s). Its client had %s events "
                              "of it, and lost the rest.",
-                             node, took, meaning_of(reason), reason, events);
+                             node, took, reason_meaning(reason), reason, events);
     else
         buffer_append_format(&text, "%s answered %s%s%s%s: %s (%s).", node, status,
                              took[0] ? " after " : "", took, took[0] ? " ms" : "",
-                             meaning_of(reason), reason);
+                             reason_meaning(reason), reason);
     if (trail[0])
         buffer_append_format(&text, " Attempts: %s", trail);
-    const struct log_line *stop = last_before(list, end, "process", "stop", node);
-    const struct log_line *start = last_before(list, end, "process", "start", node);
-    if (stop && (!start || by_time(start, stop) < 0))
+    const struct log_line *stop = find_last_line(list, end_line, "process", "stop", node);
+    const struct log_line *start = find_last_line(list, end_line, "process", "start", node);
+    if (stop && (!start || compare_times(start, stop) < 0))
         buffer_append_format(&text, " The node was in a planned stop.");
     buffer_append(&text, "", 1);
     free(node);
@@ -285,25 +285,25 @@
 {
     struct line_list list = {0};
     *explanation = (struct explanation){0};
-    read_lines(logs, size, &list);
-    const struct log_line *end = find_end(&list, request);
-    if (end) {
+    parse_lines(logs, size, &list);
+    const struct log_line *end_line = find_end_line(&list, request);
+    if (end_line) {
         explanation->lines = json_array();
         for (uint32_t i = 0; i < list.count; i++)
-            if (field_is(&list.lines[i], "request", request))
-                json_array_append_new(explanation->lines, line_text(&list.lines[i]));
-        explanation->beliefs = collect_beliefs(&list, end);
-        explanation->sentence = write_sentence(&list, end);
+            if (field_equals(&list.lines[i], "request", request))
+                json_array_append_new(explanation->lines, line_to_json(&list.lines[i]));
+        explanation->node_state = collect_node_state(&list, end_line);
+        explanation->summary = format_summary(&list, end_line);
     }
     free(list.lines);
-    return end != NULL;
+    return end_line != NULL;
 }
 
 void explanation_clear(struct explanation *explanation)
 {
     json_decref(explanation->lines);
-    json_decref(explanation->beliefs);
-    free(explanation->sentence);
+    json_decref(explanation->node_state);
+    free(explanation->summary);
     *explanation = (struct explanation){0};
 }
 
@@ -399,12 +399,12 @@
     }
     if (options.json) {
         tool_print_json(json_pack("{s:s, s:s, s:O, s:O}", "request", options.request, "sentence",
-                                  explanation.sentence, "lines", explanation.lines, "beliefs",
-                                  explanation.beliefs));
+                                  explanation.summary, "lines", explanation.lines, "beliefs",
+                                  explanation.node_state));
     } else {
-        printf("%s\n", explanation.sentence);
+        printf("%s\n", explanation.summary);
         print_list("Lines of the request:", explanation.lines);
-        print_list("Believed then:", explanation.beliefs);
+        print_list("Believed then:", explanation.node_state);
     }
     explanation_clear(&explanation);
     return 0;
--- a/src/tool/explain.h
+++ b/src/tool/explain.h
@@ -12,9 +12,9 @@
 
 /** Lines of all logs that concern one request, and what was believed then. */
 struct explanation {
-    json_t *lines;   /**< lines that name the request, in time order */
-    json_t *beliefs; /**< last lines before its end on each thing that it touched */
-    char *sentence;  /**< how it ended and why; owned */
+    json_t *lines;      /**< lines that name the request, in time order */
+    json_t *node_state; /**< last lines before its end on each thing that it touched */
+    char *summary;      /**< how it ended and why; owned */
 };
 
 /**
--- a/src/tool/load.c
+++ b/src/tool/load.c
@@ -21,12 +21,12 @@
 #define MAX_GATEWAYS 64
 #define MAX_TENANTS 64
 #define ADDRESS_SIZE 64
-#define TICKET_TEXT 700
-#define MAX_CONNECT_TRIES 5
+#define TICKET_SIZE 700
+#define MAX_CONNECT_ATTEMPTS 5
 #define ENDPOINTS_TIMEOUT_MS 2000
-#define ENDPOINTS_AHEAD_US 200000ULL
+#define ENDPOINTS_REFRESH_AHEAD_US 200000ULL
 #define START_TIMEOUT_US 30000000ULL /* without any address answer the tool gives up */
-#define GRACE_MS 2000 /* beyond the request's own deadline before the caller hangs up */
+#define CLIENT_GRACE_MS 2000 /* beyond the request's own deadline before the caller hangs up */
 
 struct gateway_list {
     char addresses[MAX_GATEWAYS][ADDRESS_SIZE];
@@ -60,9 +60,9 @@
     struct load *load;
     const struct gateway_list *gateways;
     struct gateway_list endpoints; /* as last told */
-    char ticket[TICKET_TEXT];
-    uint64_t endpoints_until;
-    bool asking;
+    char ticket[TICKET_SIZE];
+    uint64_t endpoints_expire_at;
+    bool endpoints_pending;
     uint32_t next_gateway;
     uint64_t requests;
     uint64_t verdicts[ANSWER_VERDICTS];
@@ -80,25 +80,25 @@
     struct random_stream random;
     struct load_side sides[2];
     uint32_t side_count;
-    uint64_t begun;   /* of the tool */
-    uint64_t started; /* of the arrivals */
-    uint64_t next_arrival;
-    uint64_t number;
-    uint64_t in_progress;
-    bool arrivals_over;
+    uint64_t created_at;          /* of the tool */
+    uint64_t arrivals_started_at; /* of the arrivals */
+    uint64_t next_arrival_at;
+    uint64_t next_number;
+    uint64_t requests_in_progress;
+    bool arrivals_done;
     FILE *record;
 };
 
-static volatile sig_atomic_t load_stopped;
+static volatile sig_atomic_t stop_requested;
 
 static void on_signal(int number)
 {
-    load_stopped = 1;
+    stop_requested = 1;
 }
 
 /* ---- endpoints ---- */
 
-static void take_endpoints(struct load_side *side, const json_t *body)
+static void store_endpoints(struct load_side *side, const json_t *body)
 {
     const json_t *list = json_object_get(body, "endpoints");
     const char *ticket = json_string_value(json_object_get(body, "ticket"));
@@ -109,29 +109,29 @@
         snprintf(side->endpoints.addresses[side->endpoints.count++], ADDRESS_SIZE, "%s",
                  json_string_value(json_array_get(list, i)));
     snprintf(side->ticket, sizeof side->ticket, "%s", ticket ? ticket : "");
-    side->endpoints_until =
+    side->endpoints_expire_at =
         clock_monotonic_us() +
         (uint64_t)json_integer_value(json_object_get(body, "max_age_ms")) * 1000;
 }
 
-static void on_endpoints(void *context, struct http_response *response)
+static void on_endpoints_response(void *context, struct http_response *response)
 {
     struct load_side *side = context;
-    side->asking = false;
+    side->endpoints_pending = false;
     if (response->result != HTTP_COMPLETE || response->status != 200)
         return;
     json_t *body = json_loadb((const char *)response->body, response->size, 0, NULL);
-    take_endpoints(side, body);
+    store_endpoints(side, body);
     json_decref(body);
 }
 
 /* Callers keep the address answer for its max-age, then ask any gateway they know. */
-static void ask_endpoints(struct load_side *side)
+static void request_endpoints(struct load_side *side)
 {
     char url[256];
-    if (side->asking)
+    if (side->endpoints_pending)
         return;
-    side->asking = true;
+    side->endpoints_pending = true;
     snprintf(url, sizeof url, "http://%s/v1/endpoints?service=%s",
              side->gateways->addresses[side->next_gateway++ % side->gateways->count],
              side->load->options.service);
@@ -140,7 +140,7 @@
         .url = url,
         .body_limit = 65536,
         .timeout_ms = ENDPOINTS_TIMEOUT_MS,
-        .on_done = on_endpoints,
+        .on_done = on_endpoints_response,
         .context = side,
     };
     loop_http(side->load->loop, &call);
@@ -152,11 +152,11 @@
     struct load_side *side;
     uint64_t number;
     uint32_t tenant;
-    uint64_t arrival; /* intended: latency counts from here */
-    uint64_t last_token;
-    uint32_t tries;
+    uint64_t scheduled_at; /* intended: latency counts from here */
+    uint64_t last_token_at;
+    uint32_t attempts;
     char id[64];
-    char key[TICKET_TEXT + 80];
+    char key[TICKET_SIZE + 80];
     struct answer_check check;
 };
 
@@ -170,11 +170,11 @@
     uint32_t tokens = answer_check_data(&call->check, data, size);
     if (!tokens)
         return;
-    if (!call->last_token)
-        histogram_add(&side->first_token, now - call->arrival);
+    if (!call->last_token_at)
+        histogram_add(&side->first_token, now - call->scheduled_at);
     else
-        histogram_add(&side->between_tokens, (now - call->last_token) / tokens);
-    call->last_token = now;
+        histogram_add(&side->between_tokens, (now - call->last_token_at) / tokens);
+    call->last_token_at = now;
     side->tokens += tokens;
 }
 
@@ -184,9 +184,9 @@
     struct load *load = side->load;
     side->verdicts[verdict]++;
     side->tenants[call->tenant].verdicts[verdict]++;
-    load->in_progress--;
+    load->requests_in_progress--;
     if (verdict == ANSWER_DONE) {
-        histogram_add(&side->whole, clock_monotonic_us() - call->arrival);
+        histogram_add(&side->whole, clock_monotonic_us() - call->scheduled_at);
         const char *version = call->check.version[0] ? call->check.version : "-";
         json_int_t count = json_integer_value(json_object_get(side->versions, version));
         json_object_set_new(side->versions, version, json_integer(count + 1));
@@ -222,11 +222,11 @@
     return verdict;
 }
 
-static void on_answer(void *context, struct http_response *response)
+static void on_response(void *context, struct http_response *response)
 {
     struct load_call *call = context;
     const struct load_options *options = &call->side->load->options;
-    if (response->result == HTTP_NOT_SENT && ++call->tries < MAX_CONNECT_TRIES) {
+    if (response->result == HTTP_NOT_SENT && ++call->attempts < MAX_CONNECT_ATTEMPTS) {
         start_call(call); /* nothing reached the gateway: another address may be used */
         return;
     }
@@ -272,10 +272,10 @@
         .body = body,
         .body_size = strlen(body),
         .body_limit = 1 << 20,
-        .timeout_ms = options->timeout_ms + GRACE_MS,
+        .timeout_ms = options->timeout_ms + CLIENT_GRACE_MS,
         .fresh_connection = options->plain,
         .on_data = options->plain ? NULL : on_data,
-        .on_done = on_answer,
+        .on_done = on_response,
         .context = call,
     };
     loop_http(load->loop, &http);
@@ -283,22 +283,22 @@
 
 static uint32_t pick_tenant(struct load *load)
 {
-    double at = random_unit(&load->random);
+    double remaining = random_unit(&load->random);
     for (uint32_t i = 0; i + 1 < load->options.tenant_count; i++) {
-        at -= load->options.tenant_shares[i];
-        if (at < 0)
+        remaining -= load->options.tenant_shares[i];
+        if (remaining < 0)
             return i;
     }
     return load->options.tenant_count - 1;
 }
 
-static void arrive(struct load *load, uint64_t arrival)
+static void start_request(struct load *load, uint64_t scheduled_at)
 {
     struct load_call *call = memory_zero(1, sizeof *call);
     call->side = &load->sides[random_below(&load->random, load->side_count)];
     call->side->requests++;
-    call->number = load->number++;
-    call->arrival = arrival;
+    call->number = load->next_number++;
+    call->scheduled_at = scheduled_at;
     call->tenant = pick_tenant(load);
     snprintf(call->id, sizeof call->id, "%s-%" PRIu64 "-%" PRIu64, load->options.service,
              load->options.seed, call->number);
@@ -306,22 +306,22 @@
              call->side->ticket[0] ? "~" : "", call->id);
     call->check = (struct answer_check){
         .prompt = call->id,
-        .wanted_tokens = load->options.tokens,
+        .expected_tokens = load->options.tokens,
         .verify_tokens = load->options.verify,
     };
-    load->in_progress++;
+    load->requests_in_progress++;
     start_call(call);
 }
 
 /* ---- arrivals ---- */
 
-static bool all_know_endpoints(struct load *load, uint64_t now)
+static bool refresh_endpoints(struct load *load, uint64_t now)
 {
     bool known = true;
     for (uint32_t i = 0; i < load->side_count; i++) {
         struct load_side *side = &load->sides[i];
-        if (now + ENDPOINTS_AHEAD_US >= side->endpoints_until)
-            ask_endpoints(side);
+        if (now + ENDPOINTS_REFRESH_AHEAD_US >= side->endpoints_expire_at)
+            request_endpoints(side);
         known = known && side->endpoints.count;
     }
     return known;
@@ -331,24 +331,24 @@
 {
     struct load *load = context;
     uint64_t now = clock_monotonic_us();
-    if (!all_know_endpoints(load, now)) {
-        bool gave_up = load_stopped || now - load->begun > START_TIMEOUT_US;
-        if (gave_up && !load->in_progress)
+    if (!refresh_endpoints(load, now)) {
+        bool gave_up = stop_requested || now - load->created_at > START_TIMEOUT_US;
+        if (gave_up && !load->requests_in_progress)
             loop_stop(load->loop);
         return;
     }
-    if (!load->next_arrival) {
-        load->started = now;
-        load->next_arrival = now;
+    if (!load->next_arrival_at) {
+        load->arrivals_started_at = now;
+        load->next_arrival_at = now;
     }
-    uint64_t end = load->started + (uint64_t)(load->options.seconds * 1e6);
-    load->arrivals_over = load_stopped || now >= end;
-    while (!load->arrivals_over && load->next_arrival <= now) {
-        arrive(load, load->next_arrival);
+    uint64_t end = load->arrivals_started_at + (uint64_t)(load->options.seconds * 1e6);
+    load->arrivals_done = stop_requested || now >= end;
+    while (!load->arrivals_done && load->next_arrival_at <= now) {
+        start_request(load, load->next_arrival_at);
         double gap = -log(1 - random_unit(&load->random)) / load->options.rate;
-        load->next_arrival += (uint64_t)(gap * 1e6) + 1;
+        load->next_arrival_at += (uint64_t)(gap * 1e6) + 1;
     }
-    if (load->arrivals_over && load->in_progress == 0)
+    if (load->arrivals_done && load->requests_in_progress == 0)
         loop_stop(load->loop);
 }
 
@@ -474,7 +474,7 @@
 
 /* ---- report ---- */
 
-static json_t *describe_histogram(const struct histogram *histogram)
+static json_t *histogram_to_json(const struct histogram *histogram)
 {
     return json_pack("{s:I, s:f, s:f, s:f, s:f}", "count", (json_int_t)histogram->total, "p50",
                      (double)histogram_quantile(histogram, 0.5) / 1000, "p95",
@@ -483,7 +483,7 @@
                      (double)histogram->greatest / 1000);
 }
 
-static json_t *describe_verdicts(const uint64_t verdicts[ANSWER_VERDICTS])
+static json_t *verdicts_to_json(const uint64_t verdicts[ANSWER_VERDICTS])
 {
     json_t *object = json_object();
     for (int i = 0; i < ANSWER_VERDICTS; i++)
@@ -492,38 +492,40 @@
     return object;
 }
 
-static json_t *describe_side(const struct load_side *side)
+static json_t *side_to_json(const struct load_side *side)
 {
     const struct load_options *options = &side->load->options;
     json_t *tenants = json_object();
     for (uint32_t i = 0; i < options->tenant_count; i++)
         json_object_set_new(tenants, options->tenants[i],
-                            describe_verdicts(side->tenants[i].verdicts));
+                            verdicts_to_json(side->tenants[i].verdicts));
     return json_pack(
         "{s:I, s:o, s:o, s:O, s:I, s:o, s:o, s:o}", "requests", (json_int_t)side->requests,
-        "outcomes", describe_verdicts(side->verdicts), "tenants", tenants, "versions",
+        "outcomes", verdicts_to_json(side->verdicts), "tenants", tenants, "versions",
         side->versions, "tokens", (json_int_t)side->tokens, "first_token_ms",
-        describe_histogram(&side->first_token), "between_tokens_ms",
-        describe_histogram(&side->between_tokens), "whole_ms", describe_histogram(&side->whole));
+        histogram_to_json(&side->first_token), "between_tokens_ms",
+        histogram_to_json(&side->between_tokens), "whole_ms", histogram_to_json(&side->whole));
 }
 
-static double ratio_of(const struct histogram *left, const struct histogram *right, double share)
+static double quantile_ratio(const struct histogram *left, const struct histogram *right,
+                             double share)
 {
     double below = (double)histogram_quantile(right, share);
     return below > 0 ? (double)histogram_quantile(left, share) / below : 0;
 }
 
 /* Ratios of the first system to the other, from one run, so that a busy machine slows both. */
-static json_t *describe_comparison(const struct load *load)
+static json_t *comparison_to_json(const struct load *load)
 {
     const struct load_side *left = &load->sides[0];
     const struct load_side *right = &load->sides[1];
-    return json_pack("{s:o, s:o, s:{s:f, s:f, s:f, s:f}}", "gateways", describe_side(left),
-                     "against", describe_side(right), "ratios", "first_token_p50",
-                     ratio_of(&left->first_token, &right->first_token, 0.5), "first_token_p95",
-                     ratio_of(&left->first_token, &right->first_token, 0.95), "whole_p50",
-                     ratio_of(&left->whole, &right->whole, 0.5), "whole_p95",
-                     ratio_of(&left->whole, &right->whole, 0.95));
+    return json_pack("{s:o, s:o, s:{s:f, s:f, s:f, s:f}}", "gateways", side_to_json(left),
+                     "against", side_to_json(right), "ratios", "first_token_p50",
+                     quantile_ratio(&left->first_token, &right->first_token, 0.5),
+                     "first_token_p95",
+                     quantile_ratio(&left->first_token, &right->first_token, 0.95), "whole_p50",
+                     quantile_ratio(&left->whole, &right->whole, 0.5), "whole_p95",
+                     quantile_ratio(&left->whole, &right->whole, 0.95));
 }
 
 static bool has_violation(const struct load *load)
@@ -537,7 +539,7 @@
     return violated;
 }
 
-static void open_side(struct load *load, const struct gateway_list *gateways)
+static void add_side(struct load *load, const struct gateway_list *gateways)
 {
     struct load_side *side = &load->sides[load->side_count++];
     side->load = load;
@@ -569,17 +571,17 @@
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
     load->random.seed = load->options.seed;
-    open_side(load, &load->options.gateways);
+    add_side(load, &load->options.gateways);
     if (load->options.against.count)
-        open_side(load, &load->options.against);
-    load->begun = clock_monotonic_us();
+        add_side(load, &load->options.against);
+    load->created_at = clock_monotonic_us();
     load->loop = loop_create();
     loop_set_tick(load->loop, 1000, on_tick, load);
     loop_run(load->loop);
-    tool_print_json(load->side_count == 2 ? describe_comparison(load)
-                                          : describe_side(&load->sides[0]));
+    tool_print_json(load->side_count == 2 ? comparison_to_json(load)
+                                          : side_to_json(&load->sides[0]));
     int exit_status = has_violation(load) ? 1 : 0;
-    if (!load->started) {
+    if (!load->arrivals_started_at) {
         fputs("shuntrun load: no gateway told an address\n", stderr);
         exit_status = 3;
     }
--- a/src/tool/plan.c
+++ b/src/tool/plan.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MEASURED_RATIO 1.03 /* time over the lower bound; docs/results/strategies.md */
+#define LOAD_TIME_BOUND_RATIO 1.03 /* time over the lower bound; docs/results/strategies.md */
 
 enum plan_key { KEY_MACHINES = 1000, KEY_NEW_MACHINES, KEY_ORIGIN, KEY_LINK, KEY_WHY, KEY_OUTPUT };
 
@@ -20,12 +20,12 @@
     const char *new_machines;
     double origin_bytes_per_second;
     double link_bytes_per_second;
-    const char *why;
+    const char *why_machine;
     bool json;
 };
 
 /** One model on one machine, before and after. */
-struct move {
+struct placement_change {
     const struct model_config *before; /* NULL: not held */
     const struct model_config *after;
     enum placement_reason reason; /* of the new placement */
@@ -57,7 +57,7 @@
         options->link_bytes_per_second = strtod(argument, NULL);
         break;
     case KEY_WHY:
-        options->why = argument;
+        options->why_machine = argument;
         break;
     case KEY_OUTPUT:
         options->json = tool_parse_output(argument, state);
@@ -106,9 +106,10 @@
     placement_clear(&plan->new_placement);
 }
 
-static const struct model_config *held(const struct tool_config *config,
-                                       const struct placement *placement, const struct fleet *fleet,
-                                       const char *model, uint64_t machine)
+static const struct model_config *find_held_model(const struct tool_config *config,
+                                                  const struct placement *placement,
+                                                  const struct fleet *fleet, const char *model,
+                                                  uint64_t machine)
 {
     int64_t index = fleet_find(fleet, machine);
     for (uint32_t i = 0; index >= 0 && i < config->config.model_count; i++)
@@ -118,107 +119,112 @@
     return NULL;
 }
 
-static struct move move_of(const struct plan *plan, uint32_t model, uint32_t machine)
+static struct placement_change get_change(const struct plan *plan, uint32_t model, uint32_t machine)
 {
     const char *name = plan->new_config.config.models[model].name;
     uint64_t id = plan->new_fleet.machines[machine].id;
-    return (struct move){
-        .before = held(&plan->old_config, &plan->old_placement, &plan->old_fleet, name, id),
-        .after = held(&plan->new_config, &plan->new_placement, &plan->new_fleet, name, id),
+    return (struct placement_change){
+        .before =
+            find_held_model(&plan->old_config, &plan->old_placement, &plan->old_fleet, name, id),
+        .after =
+            find_held_model(&plan->new_config, &plan->new_placement, &plan->new_fleet, name, id),
         .reason = plan->new_placement.models[model].reasons[machine],
     };
 }
 
-static bool loads(const struct move *move)
+static bool needs_load(const struct placement_change *change)
 {
-    return move->after &&
-           (!move->before || !digest_equal(&move->before->manifest, &move->after->manifest));
+    return change->after &&
+           (!change->before || !digest_equal(&change->before->manifest, &change->after->manifest));
 }
 
-struct model_sum {
+struct model_summary {
     uint32_t loads;
     uint32_t keeps;
     uint32_t drops;
     uint64_t origin_bytes;
-    double seconds;
+    double expected_seconds;
 };
 
-static struct model_sum sum_model(const struct plan_options *options, const struct plan *plan,
-                                  uint32_t model)
+static struct model_summary summarize_model(const struct plan_options *options,
+                                            const struct plan *plan, uint32_t model)
 {
-    struct model_sum sum = {0};
+    struct model_summary sum = {0};
     const struct model_config *config = &plan->new_config.config.models[model];
     for (uint32_t machine = 0; machine < plan->new_fleet.count; machine++) {
-        struct move move = move_of(plan, model, machine);
-        sum.loads += loads(&move);
-        sum.keeps += move.after && !loads(&move);
-        sum.drops += move.before && !move.after;
+        struct placement_change change = get_change(plan, model, machine);
+        sum.loads += needs_load(&change);
+        sum.keeps += change.after && !needs_load(&change);
+        sum.drops += change.before && !change.after;
     }
     if (!sum.loads)
         return sum;
     /* A machine that keeps the version can serve its chunks: the origin is not needed then. */
     bool time_weighted = plan->new_placement.models[model].weighting == ROLLOUT_TIME_WEIGHTED;
-    uint32_t budget = sum.keeps ? 0 : (time_weighted ? 4 : 1);
-    if (budget > sum.loads)
-        budget = sum.loads;
-    sum.origin_bytes = budget * config->bytes;
-    double origin = budget ? (double)config->bytes / options->origin_bytes_per_second : 0;
-    double links = (2.0 * sum.loads - budget) / sum.loads * (double)config->bytes /
-                   options->link_bytes_per_second;
-    sum.seconds = MEASURED_RATIO * (origin > links ? origin : links);
+    uint32_t origin_copies = sum.keeps ? 0 : (time_weighted ? 4 : 1);
+    if (origin_copies > sum.loads)
+        origin_copies = sum.loads;
+    sum.origin_bytes = origin_copies * config->bytes;
+    double origin_seconds =
+        origin_copies ? (double)config->bytes / options->origin_bytes_per_second : 0;
+    double link_seconds = (2.0 * sum.loads - origin_copies) / sum.loads * (double)config->bytes /
+                          options->link_bytes_per_second;
+    sum.expected_seconds =
+        LOAD_TIME_BOUND_RATIO * (origin_seconds > link_seconds ? origin_seconds : link_seconds);
     return sum;
 }
 
-static const char *action_of(const struct move *move)
+static const char *action_name(const struct placement_change *change)
 {
-    if (loads(move))
-        return move->before ? "replace" : "load";
-    if (move->after)
+    if (needs_load(change))
+        return change->before ? "replace" : "load";
+    if (change->after)
         return "keep";
-    return move->before ? "drop" : "none";
+    return change->before ? "drop" : "none";
 }
 
-static json_t *describe_move(const struct plan *plan, uint32_t model, uint32_t machine)
+static json_t *change_to_json(const struct plan *plan, uint32_t model, uint32_t machine)
 {
-    struct move move = move_of(plan, model, machine);
+    struct placement_change change = get_change(plan, model, machine);
     return json_pack(
         "{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "machine", plan->new_fleet.machines[machine].name,
         "zone", plan->new_fleet.machines[machine].zone, "model",
-        plan->new_config.config.models[model].name, "action", action_of(&move), "from",
-        move.before ? move.before->version : "", "to", move.after ? move.after->version : "", "why",
-        placement_reason_text(move.reason));
+        plan->new_config.config.models[model].name, "action", action_name(&change), "from",
+        change.before ? change.before->version : "", "to",
+        change.after ? change.after->version : "", "why", placement_reason_text(change.reason));
 }
 
-static bool is_told(const struct plan_options *options, const struct plan *plan, uint32_t model,
-                    uint32_t machine)
+static bool is_listed(const struct plan_options *options, const struct plan *plan, uint32_t model,
+                      uint32_t machine)
 {
-    struct move move = move_of(plan, model, machine);
-    if (options->why)
-        return strcmp(options->why, plan->new_fleet.machines[machine].name) == 0;
-    const char *action = action_of(&move);
+    struct placement_change change = get_change(plan, model, machine);
+    if (options->why_machine)
+        return strcmp(options->why_machine, plan->new_fleet.machines[machine].name) == 0;
+    const char *action = action_name(&change);
     return strcmp(action, "none") != 0 && strcmp(action, "keep") != 0;
 }
 
-static json_t *describe_plan(const struct plan_options *options, const struct plan *plan)
+static json_t *plan_to_json(const struct plan_options *options, const struct plan *plan)
 {
     json_t *moves = json_array();
     json_t *models = json_array();
     for (uint32_t model = 0; model < plan->new_config.config.model_count; model++) {
-        struct model_sum sum = sum_model(options, plan, model);
-        json_array_append_new(
-            models, json_pack("{s:s, s:s, s:i, s:i, s:i, s:I, s:f}", "model",
-                              plan->new_config.config.models[model].name, "version",
-                              plan->new_config.config.models[model].version, "load", sum.loads,
-                              "keep", sum.keeps, "drop", sum.drops, "origin_bytes",
-                              (json_int_t)sum.origin_bytes, "expected_seconds", sum.seconds));
+        struct model_summary sum = summarize_model(options, plan, model);
+        json_array_append_new(models,
+                              json_pack("{s:s, s:s, s:i, s:i, s:i, s:I, s:f}", "model",
+                                        plan->new_config.config.models[model].name, "version",
+                                        plan->new_config.config.models[model].version, "load",
+                                        sum.loads, "keep", sum.keeps, "drop", sum.drops,
+                                        "origin_bytes", (json_int_t)sum.origin_bytes,
+                                        "expected_seconds", sum.expected_seconds));
         for (uint32_t machine = 0; machine < plan->new_fleet.count; machine++)
-            if (is_told(options, plan, model, machine))
-                json_array_append_new(moves, describe_move(plan, model, machine));
+            if (is_listed(options, plan, model, machine))
+                json_array_append_new(moves, change_to_json(plan, model, machine));
     }
     return json_pack("{s:o, s:o}", "models", models, "machines", moves);
 }
 
-static const char *text_of(const json_t *object, const char *key)
+static const char *get_text(const json_t *object, const char *key)
 {
     return json_string_value(json_object_get(object, key));
 }
@@ -228,14 +234,14 @@
     size_t index;
     json_t *item;
     json_array_foreach(json_object_get(plan, "machines"), index, item)
-        printf("%-20s %-12s %-10s %-8s %s -> %s (%s)\n", text_of(item, "machine"),
-               text_of(item, "zone"), text_of(item, "model"), text_of(item, "action"),
-               text_of(item, "from")[0] ? text_of(item, "from") : "-",
-               text_of(item, "to")[0] ? text_of(item, "to") : "-", text_of(item, "why"));
+        printf("%-20s %-12s %-10s %-8s %s -> %s (%s)\n", get_text(item, "machine"),
+               get_text(item, "zone"), get_text(item, "model"), get_text(item, "action"),
+               get_text(item, "from")[0] ? get_text(item, "from") : "-",
+               get_text(item, "to")[0] ? get_text(item, "to") : "-", get_text(item, "why"));
     json_array_foreach(json_object_get(plan, "models"), index, item)
         printf("%s %s: %" JSON_INTEGER_FORMAT " load, %" JSON_INTEGER_FORMAT
                " keep, %" JSON_INTEGER_FORMAT " drop; origin %.3f GB, about %.0f s\n",
-               text_of(item, "model"), text_of(item, "version"),
+               get_text(item, "model"), get_text(item, "version"),
                json_integer_value(json_object_get(item, "load")),
                json_integer_value(json_object_get(item, "keep")),
                json_integer_value(json_object_get(item, "drop")),
@@ -263,10 +269,10 @@
     struct findings findings = {0};
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
-    bool good = read_plan(&options, &plan, &findings);
+    bool valid = read_plan(&options, &plan, &findings);
     findings_print(&findings, stderr);
-    if (good) {
-        json_t *described = describe_plan(&options, &plan);
+    if (valid) {
+        json_t *described = plan_to_json(&options, &plan);
         if (options.json) {
             tool_print_json(described);
         } else {
@@ -276,5 +282,5 @@
     }
     findings_clear(&findings);
     clear_plan(&plan);
-    return good ? 0 : 1;
+    return valid ? 0 : 1;
 }
--- a/src/tool/report.c
+++ b/src/tool/report.c
@@ -15,7 +15,7 @@
 #include <unistd.h>
 
 #define MAX_ADDRESSES 64
-#define MAX_LINE (1 << 20)
+#define MAX_LINE_BYTES (1 << 20)
 
 enum report_key {
     KEY_OBJECTIVES = 1000,
@@ -31,10 +31,10 @@
     const char *addresses[MAX_ADDRESSES];
     uint32_t address_count;
     const char *objectives;
-    double every;
-    double duration;
-    const char *record;
-    const char *from;
+    double interval_s;
+    double duration_s;
+    const char *record_path;
+    const char *recording_path;
     double windows[BURN_MAX_WINDOWS];
     uint32_t window_count;
     const char *output;
@@ -42,7 +42,7 @@
 
 /* ---- samples ---- */
 
-static json_t *take_sample(const struct report_options *options)
+static json_t *sample_gateways(const struct report_options *options)
 {
     json_t *nodes = json_object();
     for (uint32_t i = 0; i < options->address_count; i++) {
@@ -57,7 +57,7 @@
                      nodes);
 }
 
-static void write_line(FILE *record, const json_t *sample)
+static void write_sample(FILE *record, const json_t *sample)
 {
     if (!record)
         return;
@@ -66,16 +66,16 @@
     fflush(record);
 }
 
-static json_t *sample_nodes(const struct report_options *options, FILE *record)
+static json_t *collect_samples(const struct report_options *options, FILE *record)
 {
     json_t *samples = json_array();
-    uint32_t count = (uint32_t)(options->duration / options->every) + 1;
+    uint32_t count = (uint32_t)(options->duration_s / options->interval_s) + 1;
     for (uint32_t i = 0; i < count; i++) {
-        json_t *sample = take_sample(options);
-        write_line(record, sample);
+        json_t *sample = sample_gateways(options);
+        write_sample(record, sample);
         json_array_append_new(samples, sample);
         if (i + 1 < count)
-            usleep((useconds_t)(options->every * 1e6));
+            usleep((useconds_t)(options->interval_s * 1e6));
     }
     return samples;
 }
@@ -88,8 +88,8 @@
         return NULL;
     }
     json_t *samples = json_array();
-    char *line = memory_zero(MAX_LINE, 1);
-    for (int number = 1; samples && fgets(line, MAX_LINE, stream); number++) {
+    char *line = memory_zero(MAX_LINE_BYTES, 1);
+    for (int number = 1; samples && fgets(line, MAX_LINE_BYTES, stream); number++) {
         json_t *sample = json_loads(line, 0, NULL);
         if (json_is_object(json_object_get(sample, "nodes"))) {
             json_array_append_new(samples, sample);
@@ -107,7 +107,7 @@
 
 /* ---- output ---- */
 
-static json_t *describe(const struct burn_objective *burn)
+static json_t *burn_to_json(const struct burn_objective *burn)
 {
     json_t *windows = json_array();
     for (uint32_t i = 0; i < burn->window_count; i++)
@@ -146,7 +146,7 @@
     json_t *list = json_array();
     for (uint32_t i = 0; i < count; i++) {
         if (strcmp(options->output, "json") == 0)
-            json_array_append_new(list, describe(&burns[i]));
+            json_array_append_new(list, burn_to_json(&burns[i]));
         else
             print_text(&burns[i]);
     }
@@ -156,8 +156,8 @@
         json_decref(list);
 }
 
-static void report(const struct report_options *options, const struct fleet_config *config,
-                   const json_t *samples)
+static void report_objectives(const struct report_options *options,
+                              const struct fleet_config *config, const json_t *samples)
 {
     struct burn_objective *burns = memory_zero(config->objective_count, sizeof *burns);
     for (uint32_t i = 0; i < config->objective_count; i++)
@@ -191,16 +191,16 @@
         options->objectives = argument;
         break;
     case KEY_EVERY:
-        options->every = strtod(argument, NULL);
+        options->interval_s = strtod(argument, NULL);
         break;
     case KEY_FOR:
-        options->duration = strtod(argument, NULL);
+        options->duration_s = strtod(argument, NULL);
         break;
     case KEY_RECORD:
-        options->record = argument;
+        options->record_path = argument;
         break;
     case KEY_FROM:
-        options->from = argument;
+        options->recording_path = argument;
         break;
     case KEY_WINDOWS:
         parse_windows(options, argument, state);
@@ -216,9 +216,9 @@
         options->addresses[options->address_count++] = argument;
         break;
     case ARGP_KEY_END:
-        if (!options->objectives || (!options->from && !options->address_count))
+        if (!options->objectives || (!options->recording_path && !options->address_count))
             argp_error(state, "--objectives and gateways or --from are needed");
-        if (!(options->every > 0) || !(options->duration >= 0))
+        if (!(options->interval_s > 0) || !(options->duration_s >= 0))
             argp_error(state, "--every must be above 0");
         break;
     default:
@@ -229,14 +229,14 @@
 
 static json_t *get_samples(const struct report_options *options)
 {
-    if (options->from)
-        return read_recording(options->from);
+    if (options->recording_path)
+        return read_recording(options->recording_path);
     FILE *record = NULL;
-    if (options->record && !(record = fopen(options->record, "a"))) {
-        perror(options->record);
+    if (options->record_path && !(record = fopen(options->record_path, "a"))) {
+        perror(options->record_path);
         return NULL;
     }
-    json_t *samples = sample_nodes(options, record);
+    json_t *samples = collect_samples(options, record);
     if (record)
         fclose(record);
     return samples;
@@ -258,8 +258,8 @@
         "error budget left.\v"
         "Samples the counters of the gateways given as IP:PORT, or reads a recording. Exit status "
         "0, 1 when a file has errors, 2 for wrong usage.";
-    struct report_options options = {.every = 1,
-                                     .duration = 10,
+    struct report_options options = {.interval_s = 1,
+                                     .duration_s = 10,
                                      .windows = {60, 300, 3600},
                                      .window_count = 3,
                                      .output = "text"};
@@ -269,14 +269,14 @@
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    bool good = tool_read_config(options.objectives, &config, &findings) == STATUS_OK;
+    bool valid = tool_read_config(options.objectives, &config, &findings) == STATUS_OK;
     findings_print(&findings, stderr);
     findings_clear(&findings);
-    json_t *samples = good ? get_samples(&options) : NULL;
+    json_t *samples = valid ? get_samples(&options) : NULL;
     if (samples)
-        report(&options, &config.config, samples);
+        report_objectives(&options, &config.config, samples);
     json_decref(samples);
     tool_clear_config(&config);
     curl_global_cleanup();
-    return good && samples ? 0 : 1;
+    return valid && samples ? 0 : 1;
 }
--- a/src/tool/report_page.c
+++ b/src/tool/report_page.c
@@ -6,7 +6,7 @@
 #define PLOT_HEIGHT 140.0
 #define PLOT_LEFT 48.0
 #define PLOT_TOP 10.0
-#define LEAST_BURN_SHOWN 2.0 /* the axis reaches at least so far */
+#define MIN_AXIS_BURN 2.0 /* the axis reaches at least so far */
 
 static const char head[] =
     "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Service-level burn"
@@ -22,62 +22,62 @@
     "are "
     "those that ended as not run or unknown.</p>\n";
 
-static double step_burn(const struct burn_objective *burn, uint32_t index)
+static double interval_burn_rate(const struct burn_objective *burn, uint32_t index)
 {
-    const struct burn_step *step = &burn->steps[index];
-    if (!step->requests)
+    const struct burn_interval *interval = &burn->intervals[index];
+    if (!interval->requests)
         return 0;
-    return (double)step->bad / (double)step->requests / (1 - burn->objective.availability);
+    return (double)interval->bad / (double)interval->requests / (1 - burn->objective.availability);
 }
 
-static double greatest_burn(const struct burn_objective *burn)
+static double find_axis_max(const struct burn_objective *burn)
 {
-    double greatest = LEAST_BURN_SHOWN;
-    for (uint32_t i = 0; i < burn->step_count; i++)
-        if (step_burn(burn, i) > greatest)
-            greatest = step_burn(burn, i);
-    return greatest;
+    double axis_max = MIN_AXIS_BURN;
+    for (uint32_t i = 0; i < burn->interval_count; i++)
+        if (interval_burn_rate(burn, i) > axis_max)
+            axis_max = interval_burn_rate(burn, i);
+    return axis_max;
 }
 
-static double y_of(double value, double greatest)
+static double plot_y(double value, double axis_max)
 {
-    return PLOT_TOP + PLOT_HEIGHT * (1 - value / greatest);
+    return PLOT_TOP + PLOT_HEIGHT * (1 - value / axis_max);
 }
 
-static void print_axis(FILE *stream, double greatest, double seconds)
+static void print_axis(FILE *stream, double axis_max, double seconds)
 {
     fprintf(stream,
             "<line x1=\"%.0f\" x2=\"%.0f\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#b00020\" "
             "stroke-dasharray=\"4 3\"/>\n",
-            PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, y_of(1, greatest), y_of(1, greatest));
+            PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, plot_y(1, axis_max), plot_y(1, axis_max));
     fprintf(stream,
             "<g font-size=\"11\" fill=\"#555\"><text x=\"4\" y=\"%.1f\">%.1f</text>"
             "<text x=\"4\" y=\"%.1f\">1</text><text x=\"4\" y=\"%.1f\">0</text>"
             "<text x=\"%.0f\" y=\"%.1f\">0 s</text><text x=\"%.0f\" y=\"%.1f\" "
             "text-anchor=\"end\">%.0f s</text></g>\n",
-            y_of(greatest, greatest) + 8, greatest, y_of(1, greatest) + 4, y_of(0, greatest),
+            plot_y(axis_max, axis_max) + 8, axis_max, plot_y(1, axis_max) + 4, plot_y(0, axis_max),
             PLOT_LEFT, PLOT_TOP + PLOT_HEIGHT + 16, PLOT_LEFT + PLOT_WIDTH,
             PLOT_TOP + PLOT_HEIGHT + 16, seconds);
 }
 
 static void print_plot(FILE *stream, const struct burn_objective *burn)
 {
-    double greatest = greatest_burn(burn);
-    double seconds = burn->step_count ? burn->steps[burn->step_count - 1].seconds : 1;
+    double axis_max = find_axis_max(burn);
+    double seconds = burn->interval_count ? burn->intervals[burn->interval_count - 1].seconds : 1;
     fprintf(
         stream,
         "<svg width=\"%.0f\" height=\"%.0f\" role=\"img\" aria-label=\"burn rate over time\">\n",
         PLOT_LEFT + PLOT_WIDTH + 16, PLOT_TOP + PLOT_HEIGHT + 24);
-    print_axis(stream, greatest, seconds);
+    print_axis(stream, axis_max, seconds);
     fputs("<polyline fill=\"none\" stroke=\"#1a5fb4\" stroke-width=\"2\" points=\"", stream);
-    for (uint32_t i = 0; i < burn->step_count; i++)
+    for (uint32_t i = 0; i < burn->interval_count; i++)
         fprintf(stream, "%.1f,%.1f ",
-                PLOT_LEFT + PLOT_WIDTH * burn->steps[i].seconds / (seconds > 0 ? seconds : 1),
-                y_of(step_burn(burn, i), greatest));
+                PLOT_LEFT + PLOT_WIDTH * burn->intervals[i].seconds / (seconds > 0 ? seconds : 1),
+                plot_y(interval_burn_rate(burn, i), axis_max));
     fputs("\"/>\n</svg>\n", stream);
 }
 
-static const char *class_of(double burn)
+static const char *css_class(double burn)
 {
     return burn > 1 ? " class=\"bad\"" : "";
 }
@@ -101,8 +101,8 @@
         const struct burn_window *window = &burn->windows[i];
         fprintf(stream,
                 "<tr><td>%.0f s</td><td>%" PRIu64 "</td><td%s>%.2f</td><td%s>%.2f</td></tr>\n",
-                window->seconds, window->requests, class_of(window->availability_burn),
-                window->availability_burn, class_of(window->latency_burn), window->latency_burn);
+                window->seconds, window->requests, css_class(window->availability_burn),
+                window->availability_burn, css_class(window->latency_burn), window->latency_burn);
     }
     fputs("</table>\n", stream);
 }
--- a/src/tool/status.c
+++ b/src/tool/status.c
@@ -33,7 +33,7 @@
     uint32_t machines;
     uint32_t ready;
     uint64_t chunks;
-    uint64_t held;
+    uint64_t held_chunks;
 };
 
 struct progress_list {
@@ -41,8 +41,8 @@
     uint32_t count;
 };
 
-static struct progress *progress_of(struct progress_list *list, const char *model,
-                                    const char *version, const char *zone)
+static struct progress *find_or_add_progress(struct progress_list *list, const char *model,
+                                             const char *version, const char *zone)
 {
     for (uint32_t i = 0; i < list->count; i++)
         if (strcmp(list->items[i].model, model) == 0 &&
@@ -57,29 +57,30 @@
     return progress;
 }
 
-static const char *text_of(const json_t *object, const char *key)
+static const char *get_text(const json_t *object, const char *key)
 {
     const char *text = json_string_value(json_object_get(object, key));
     return text ? text : "";
 }
 
-static void add_agent(struct progress_list *list, const json_t *status)
+static void add_node_rollouts(struct progress_list *list, const json_t *status)
 {
     size_t index;
     json_t *rollout;
     json_array_foreach(json_object_get(status, "rollouts"), index, rollout)
     {
-        struct progress *progress = progress_of(
-            list, text_of(rollout, "model"), text_of(rollout, "version"), text_of(status, "zone"));
+        struct progress *progress =
+            find_or_add_progress(list, get_text(rollout, "model"), get_text(rollout, "version"),
+                                 get_text(status, "zone"));
         progress->machines++;
-        progress->ready += strcmp(text_of(rollout, "state"), "ready") == 0;
+        progress->ready += strcmp(get_text(rollout, "state"), "ready") == 0;
         progress->chunks += (uint64_t)json_integer_value(json_object_get(rollout, "chunks"));
-        progress->held += (uint64_t)json_integer_value(json_object_get(rollout, "held"));
+        progress->held_chunks += (uint64_t)json_integer_value(json_object_get(rollout, "held"));
     }
 }
 
 /* The machine list of the first node that answers. */
-static json_t *ask_machines(const struct status_options *options)
+static json_t *get_machines(const struct status_options *options)
 {
     for (uint32_t i = 0; i < options->address_count; i++) {
         json_t *machines = tool_get_json(options->addresses[i], "/v1/machines");
@@ -90,119 +91,122 @@
     return NULL;
 }
 
-struct survey {
-    json_t *nodes;  /* status of each that answered */
-    json_t *silent; /* names of those that did not */
+struct fleet_status {
+    json_t *nodes;       /* status of each that answered */
+    json_t *unreachable; /* names of those that did not */
     struct progress_list progress;
 };
 
-static bool take_survey(const struct status_options *options, struct survey *survey)
+static bool query_fleet_status(const struct status_options *options, struct fleet_status *fleet)
 {
-    json_t *machines = ask_machines(options);
+    json_t *machines = get_machines(options);
     size_t index;
     json_t *machine;
     if (!machines)
         return false;
-    *survey = (struct survey){json_array(), json_array(), {0}};
+    *fleet = (struct fleet_status){json_array(), json_array(), {0}};
     json_array_foreach(machines, index, machine)
     {
-        json_t *status = tool_get_json(text_of(machine, "address"), "/v1/status");
+        json_t *status = tool_get_json(get_text(machine, "address"), "/v1/status");
         if (!status) {
-            json_array_append(survey->silent, json_object_get(machine, "name"));
+            json_array_append(fleet->unreachable, json_object_get(machine, "name"));
             continue;
         }
-        add_agent(&survey->progress, status);
-        json_array_append_new(survey->nodes, status);
+        add_node_rollouts(&fleet->progress, status);
+        json_array_append_new(fleet->nodes, status);
     }
     json_decref(machines);
     return true;
 }
 
-static void clear_survey(struct survey *survey)
+static void clear_fleet_status(struct fleet_status *fleet)
 {
-    json_decref(survey->nodes);
-    json_decref(survey->silent);
-    free(survey->progress.items);
+    json_decref(fleet->nodes);
+    json_decref(fleet->unreachable);
+    free(fleet->progress.items);
 }
 
-static json_t *describe(const struct survey *survey)
+static json_t *fleet_status_to_json(const struct fleet_status *fleet)
 {
     json_t *list = json_array();
-    for (uint32_t i = 0; i < survey->progress.count; i++) {
-        const struct progress *progress = &survey->progress.items[i];
-        json_array_append_new(
-            list, json_pack("{s:s, s:s, s:s, s:i, s:i, s:I, s:I}", "model", progress->model,
-                            "version", progress->version, "zone", progress->zone, "machines",
-                            progress->machines, "ready", progress->ready, "chunks",
-                            (json_int_t)progress->chunks, "held", (json_int_t)progress->held));
+    for (uint32_t i = 0; i < fleet->progress.count; i++) {
+        const struct progress *progress = &fleet->progress.items[i];
+        json_array_append_new(list,
+                              json_pack("{s:s, s:s, s:s, s:i, s:i, s:I, s:I}", "model",
+                                        progress->model, "version", progress->version, "zone",
+                                        progress->zone, "machines", progress->machines, "ready",
+                                        progress->ready, "chunks", (json_int_t)progress->chunks,
+                                        "held", (json_int_t)progress->held_chunks));
     }
-    return json_pack("{s:o, s:O, s:O}", "progress", list, "nodes", survey->nodes, "silent",
-                     survey->silent);
+    return json_pack("{s:o, s:O, s:O}", "progress", list, "nodes", fleet->nodes, "silent",
+                     fleet->unreachable);
 }
 
-static double share_of(const struct progress *progress)
+static double held_share(const struct progress *progress)
 {
     if (progress->machines && progress->ready == progress->machines)
         return 1;
-    return progress->chunks ? (double)progress->held / (double)progress->chunks : 0;
+    return progress->chunks ? (double)progress->held_chunks / (double)progress->chunks : 0;
 }
 
 /* Seconds left at the speed since the last look; below 0: not known. */
-static double seconds_left(const struct survey *survey, const struct progress_list *last,
+static double seconds_left(const struct fleet_status *fleet, const struct progress_list *previous,
                            uint32_t index)
 {
-    const struct progress *now = &survey->progress.items[index];
-    for (uint32_t i = 0; i < last->count; i++) {
-        const struct progress *then = &last->items[i];
-        bool same = strcmp(then->model, now->model) == 0 &&
-                    strcmp(then->version, now->version) == 0 && strcmp(then->zone, now->zone) == 0;
-        double gained = share_of(now) - share_of(then);
-        if (same && gained > 0)
-            return (1 - share_of(now)) / gained * REFRESH_SECONDS;
+    const struct progress *now = &fleet->progress.items[index];
+    for (uint32_t i = 0; i < previous->count; i++) {
+        const struct progress *before = &previous->items[i];
+        bool same = strcmp(before->model, now->model) == 0 &&
+                    strcmp(before->version, now->version) == 0 &&
+                    strcmp(before->zone, now->zone) == 0;
+        double progress_made = held_share(now) - held_share(before);
+        if (same && progress_made > 0)
+            return (1 - held_share(now)) / progress_made * REFRESH_SECONDS;
     }
     return -1;
 }
 
-static void print_progress(const struct survey *survey, const struct progress_list *last)
+static void print_progress(const struct fleet_status *fleet, const struct progress_list *previous)
 {
-    for (uint32_t i = 0; i < survey->progress.count; i++) {
-        const struct progress *progress = &survey->progress.items[i];
+    for (uint32_t i = 0; i < fleet->progress.count; i++) {
+        const struct progress *progress = &fleet->progress.items[i];
         char bar[BAR_WIDTH + 1];
-        int filled = (int)(share_of(progress) * BAR_WIDTH);
+        int filled = (int)(held_share(progress) * BAR_WIDTH);
         memset(bar, '.', BAR_WIDTH);
         memset(bar, '#', (size_t)filled);
         bar[BAR_WIDTH] = 0;
         printf("%-12s %-8s %-12s [%s] %3.0f %%  %u of %u ready", progress->model, progress->version,
-               progress->zone, bar, 100 * share_of(progress), progress->ready, progress->machines);
-        double left = seconds_left(survey, last, i);
+               progress->zone, bar, 100 * held_share(progress), progress->ready,
+               progress->machines);
+        double left = seconds_left(fleet, previous, i);
         if (left >= 0 && progress->ready < progress->machines)
             printf("  about %.0f s left", left);
         putchar('\n');
     }
 }
 
-static void print_nodes(const struct survey *survey)
+static void print_nodes(const struct fleet_status *fleet)
 {
     size_t index;
     json_t *node;
-    json_array_foreach(survey->nodes, index, node)
+    json_array_foreach(fleet->nodes, index, node)
     {
         printf("%-16s %-8s %-12s revision %" JSON_INTEGER_FORMAT "  active %" JSON_INTEGER_FORMAT
                "%s\n",
-               text_of(node, "name"), text_of(node, "role"), text_of(node, "zone"),
+               get_text(node, "name"), get_text(node, "role"), get_text(node, "zone"),
                json_integer_value(json_object_get(node, "config_revision")),
                json_integer_value(json_object_get(node, "active_requests")),
                json_is_true(json_object_get(node, "draining")) ? "  draining" : "");
     }
-    json_array_foreach(survey->silent, index, node)
+    json_array_foreach(fleet->unreachable, index, node)
         printf("%-16s does not answer\n", json_string_value(node));
 }
 
-static bool all_ready(const struct survey *survey)
+static bool all_ready(const struct fleet_status *fleet)
 {
-    bool ready = survey->progress.count > 0;
-    for (uint32_t i = 0; i < survey->progress.count; i++)
-        ready = ready && survey->progress.items[i].ready == survey->progress.items[i].machines;
+    bool ready = fleet->progress.count > 0;
+    for (uint32_t i = 0; i < fleet->progress.count; i++)
+        ready = ready && fleet->progress.items[i].ready == fleet->progress.items[i].machines;
     return ready;
 }
 
@@ -231,36 +235,36 @@
     return 0;
 }
 
-static int show(const struct status_options *options)
+static int run_status(const struct status_options *options)
 {
-    struct progress_list last = {0};
+    struct progress_list previous = {0};
     bool terminal = isatty(STDOUT_FILENO);
     int exit_status = 0;
     for (;;) {
-        struct survey survey;
-        if (!take_survey(options, &survey)) {
+        struct fleet_status fleet;
+        if (!query_fleet_status(options, &fleet)) {
             exit_status = 1;
             break;
         }
-        bool over = !options->follow || all_ready(&survey);
+        bool finished = !options->follow || all_ready(&fleet);
         if (options->json) {
-            tool_print_json(describe(&survey));
+            tool_print_json(fleet_status_to_json(&fleet));
         } else {
             if (terminal && options->follow)
                 fputs(CLEAR_SCREEN, stdout);
-            print_progress(&survey, &last);
-            print_nodes(&survey);
+            print_progress(&fleet, &previous);
+            print_nodes(&fleet);
         }
         fflush(stdout);
-        free(last.items);
-        last = survey.progress;
-        survey.progress.items = NULL;
-        clear_survey(&survey);
-        if (over)
+        free(previous.items);
+        previous = fleet.progress;
+        fleet.progress.items = NULL;
+        clear_fleet_status(&fleet);
+        if (finished)
             break;
         sleep(REFRESH_SECONDS);
     }
-    free(last.items);
+    free(previous.items);
     return exit_status;
 }
 
@@ -279,7 +283,7 @@
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    int exit_status = show(&options);
+    int exit_status = run_status(&options);
     curl_global_cleanup();
     return exit_status;
 }
--- a/src/tool/suspects.c
+++ b/src/tool/suspects.c
@@ -10,11 +10,11 @@
 #define KEY_LIFT 'l'
 #define KEY_OUTPUT 1000
 #define TARGET_SIZE 128
-#define SECOND_MS 1000
+#define MS_PER_SECOND 1000
 
 struct suspects_options {
     const char *address;
-    const char *lift; /* identity, or NULL: list */
+    const char *lift_identity; /* identity, or NULL: list */
     bool json;
 };
 
@@ -23,7 +23,7 @@
     struct suspects_options *options = state->input;
     switch (key) {
     case KEY_LIFT:
-        options->lift = argument;
+        options->lift_identity = argument;
         break;
     case KEY_OUTPUT:
         options->json = tool_parse_output(argument, state);
@@ -43,9 +43,9 @@
     return 0;
 }
 
-static json_int_t seconds_of(const json_t *suspect, const char *name)
+static json_int_t get_seconds(const json_t *suspect, const char *name)
 {
-    return json_integer_value(json_object_get(suspect, name)) / SECOND_MS;
+    return json_integer_value(json_object_get(suspect, name)) / MS_PER_SECOND;
 }
 
 static void print_suspect(const json_t *suspect)
@@ -55,8 +55,8 @@
            json_string_value(json_object_get(suspect, "identity")),
            json_string_value(json_object_get(suspect, "verdict")),
            (int)json_integer_value(json_object_get(suspect, "ends")),
-           seconds_of(suspect, "first_end_ms_ago"), seconds_of(suspect, "last_end_ms_ago"),
-           seconds_of(suspect, "blocked_for_ms"));
+           get_seconds(suspect, "first_end_ms_ago"), get_seconds(suspect, "last_end_ms_ago"),
+           get_seconds(suspect, "blocked_for_ms"));
 }
 
 static void print_suspects(const json_t *list)
@@ -87,17 +87,17 @@
     return 0;
 }
 
-static int lift(const struct suspects_options *options)
+static int lift_block(const struct suspects_options *options)
 {
-    char target[TARGET_SIZE];
-    snprintf(target, sizeof target, "/suspects/lift?identity=%s", options->lift);
-    char *answer = tool_post(options->address, target);
-    if (!answer) {
+    char path[TARGET_SIZE];
+    snprintf(path, sizeof path, "/suspects/lift?identity=%s", options->lift_identity);
+    char *response = tool_post(options->address, path);
+    if (!response) {
         fprintf(stderr, "shuntrun suspects: %s\n", status_message());
         return 1;
     }
-    fputs(answer, stdout);
-    free(answer);
+    fputs(response, stdout);
+    free(response);
     return 0;
 }
 
@@ -118,7 +118,7 @@
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    int exit_status = options.lift ? lift(&options) : list_suspects(&options);
+    int exit_status = options.lift_identity ? lift_block(&options) : list_suspects(&options);
     curl_global_cleanup();
     return exit_status;
 }
--- a/src/tool/tool.c
+++ b/src/tool/tool.c
@@ -8,79 +8,79 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_TIMEOUT_MS 3000L
+#define HTTP_TIMEOUT_MS 3000L
 
 enum status tool_read_file(const char *path, char **text, size_t *size)
 {
     FILE *stream = fopen(path, "r");
     if (!stream)
         return status_fail(STATUS_IO, "%s", strerror(errno));
-    char buffer[65536];
-    size_t got;
+    char response[65536];
+    size_t read_size;
     *text = memory_string("");
     *size = 0;
-    while ((got = fread(buffer, 1, sizeof buffer, stream)) > 0) {
-        *text = memory_resize(*text, *size + got + 1);
-        memcpy(*text + *size, buffer, got);
-        *size += got;
+    while ((read_size = fread(response, 1, sizeof response, stream)) > 0) {
+        *text = memory_resize(*text, *size + read_size + 1);
+        memcpy(*text + *size, response, read_size);
+        *size += read_size;
         (*text)[*size] = 0;
     }
     fclose(stream);
     return STATUS_OK;
 }
 
-struct buffer {
+struct response_text {
     char *data;
     size_t size;
 };
 
-static size_t append(char *data, size_t unit, size_t count, void *context)
+static size_t append_response(char *data, size_t unit, size_t count, void *context)
 {
-    struct buffer *buffer = context;
-    buffer->data = memory_resize(buffer->data, buffer->size + unit * count + 1);
-    memcpy(buffer->data + buffer->size, data, unit * count);
-    buffer->size += unit * count;
-    buffer->data[buffer->size] = 0;
+    struct response_text *response = context;
+    response->data = memory_resize(response->data, response->size + unit * count + 1);
+    memcpy(response->data + response->size, data, unit * count);
+    response->size += unit * count;
+    response->data[response->size] = 0;
     return unit * count;
 }
 
 /* \param body sent with POST; NULL: GET */
-static char *call(const char *address, const char *path, const char *body)
+static char *send_request(const char *address, const char *path, const char *body)
 {
     char url[512];
     long status = 0;
-    struct buffer buffer = {memory_string(""), 0};
+    struct response_text response = {memory_string(""), 0};
     CURL *easy = curl_easy_init();
     snprintf(url, sizeof url, "http://%s%s", address, path);
     curl_easy_setopt(easy, CURLOPT_URL, url);
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &buffer);
+    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, HTTP_TIMEOUT_MS);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_response);
+    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &response);
     if (body)
         curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
     CURLcode code = curl_easy_perform(easy);
     curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
     curl_easy_cleanup(easy);
     if (code == CURLE_OK && status == 200)
-        return buffer.data;
+        return response.data;
     if (code != CURLE_OK)
         status_fail(STATUS_IO, "%s: %s", url, curl_easy_strerror(code));
     else
-        status_fail(STATUS_IO, "%s: status %ld %s", url, status, buffer.data);
-    free(buffer.data);
+        status_fail(STATUS_IO, "%s: status %ld %s", url, status, response.data);
+    free(response.data);
     return NULL;
 }
 
 char *tool_get_text(const char *address, const char *path)
 {
-    return call(address, path, NULL);
+    return send_request(address, path, NULL);
 }
 
 char *tool_post(const char *address, const char *path)
 {
-    return call(address, path, "");
+    return send_request(address, path, "");
 }
 
 json_t *tool_get_json(const char *address, const char *path)
@@ -133,12 +133,12 @@
         return STATUS_IO;
     }
     enum status status = fleet_config_parse(path, text, size, 1, &config->config, findings);
-    char *program = fleet_config_policy_text(text, size);
+    char *policy_text = fleet_config_policy_text(text, size);
     free(text);
     snprintf(policy_name, sizeof policy_name, "%s(policy)", path);
-    if (program)
-        config->policy = policy_create(policy_name, program, findings);
-    free(program);
+    if (policy_text)
+        config->policy = policy_create(policy_name, policy_text, findings);
+    free(policy_text);
     if (status == STATUS_OK && !config->policy)
         status = status_fail(STATUS_INVALID, "the policy is refused");
     return status;
@@ -155,18 +155,19 @@
 {
     char *text;
     size_t size;
-    struct findings own = {0};
+    struct findings file_findings = {0};
     if (tool_read_file(path, &text, &size) != STATUS_OK) {
         findings_add(findings, FINDING_ERROR, path, "%s", status_message());
         return STATUS_IO;
     }
-    enum status status = fleet_parse(text, size, fleet, &own);
+    enum status status = fleet_parse(text, size, fleet, &file_findings);
     free(text);
-    for (size_t i = 0; i < own.count; i++) {
+    for (size_t i = 0; i < file_findings.count; i++) {
         char place[400];
-        snprintf(place, sizeof place, "%s: %s", path, own.items[i].place);
-        findings_add(findings, own.items[i].severity, place, "%s", own.items[i].text);
+        snprintf(place, sizeof place, "%s: %s", path, file_findings.items[i].place);
+        findings_add(findings, file_findings.items[i].severity, place, "%s",
+                     file_findings.items[i].text);
     }
-    findings_clear(&own);
+    findings_clear(&file_findings);
     return status;
 }
--- a/tests/tool/burn_test.c
+++ b/tests/tool/burn_test.c
@@ -17,7 +17,7 @@
 static const struct objective_config objective = {
     .service = "script", .availability = 0.99, .first_token_ms = 840};
 
-static void burn_counts_what_was_gained(void **state)
+static void burn_counts_counter_increases(void **state)
 {
     json_t *samples = json_pack("[o, o, o]", sample(0, "g", 100, 50, 0),
                                 sample(1000, "g", 198, 52, 0), sample(2000, "g", 298, 52, 10));
@@ -63,7 +63,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(burn_counts_what_was_gained),
+        cmocka_unit_test(burn_counts_counter_increases),
         cmocka_unit_test(a_restarted_gateway_counts_from_zero),
         cmocka_unit_test(metrics_are_parsed_into_rows),
     };
--- a/tests/tool/explain_test.c
+++ b/tests/tool/explain_test.c
@@ -30,38 +30,38 @@
     return false;
 }
 
-static void the_cause_is_named_with_the_beliefs_of_then(void **state)
+static void the_cause_is_reported_with_the_node_state_at_that_time(void **state)
 {
     struct explanation explanation;
     assert_true(explain_request(logs, strlen(logs), "ab12", &explanation));
-    assert_non_null(strstr(explanation.sentence, "front-1 answered 502 after 20 ms"));
-    assert_non_null(strstr(explanation.sentence, "connection to the back end broke"));
-    assert_non_null(strstr(explanation.sentence, "planned stop"));
+    assert_non_null(strstr(explanation.summary, "front-1 answered 502 after 20 ms"));
+    assert_non_null(strstr(explanation.summary, "connection to the back end broke"));
+    assert_non_null(strstr(explanation.summary, "planned stop"));
     assert_int_equal(json_array_size(explanation.lines), 1);
-    assert_true(holds(explanation.beliefs, "version=7"));
-    assert_false(holds(explanation.beliefs, "version=6"));
-    assert_false(holds(explanation.beliefs, "version=9"));
-    assert_true(holds(explanation.beliefs, "id=i-2"));
-    assert_false(holds(explanation.beliefs, "id=i-3"));
+    assert_true(holds(explanation.node_state, "version=7"));
+    assert_false(holds(explanation.node_state, "version=6"));
+    assert_false(holds(explanation.node_state, "version=9"));
+    assert_true(holds(explanation.node_state, "id=i-2"));
+    assert_false(holds(explanation.node_state, "id=i-3"));
     explanation_clear(&explanation);
 }
 
-static void a_stream_that_was_cut_is_told_from_an_answer(void **state)
+static void an_aborted_stream_is_distinguished_from_a_response(void **state)
 {
     static const char cut[] =
         "time=2026-01-01T00:00:31.200Z node=front-1 subsystem=request event=cut request=cd34 "
         "status=502 reason=no-backend sends=1 events=14 took_ms=900 trail=\"i-2@0ms,broken;\"\n";
     struct explanation explanation;
     assert_true(explain_request(cut, strlen(cut), "cd34", &explanation));
-    assert_non_null(strstr(explanation.sentence, "front-1 broke off a stream after 900 ms"));
-    assert_non_null(strstr(explanation.sentence, "had 14 events of it, and lost the rest"));
+    assert_non_null(strstr(explanation.summary, "front-1 broke off a stream after 900 ms"));
+    assert_non_null(strstr(explanation.summary, "had 14 events of it, and lost the rest"));
     explanation_clear(&explanation);
     assert_true(explain_request(logs, strlen(logs), "ab12", &explanation));
-    assert_null(strstr(explanation.sentence, "broke off a stream"));
+    assert_null(strstr(explanation.summary, "broke off a stream"));
     explanation_clear(&explanation);
 }
 
-static void a_request_that_crashes_back_ends_is_told_so(void **state)
+static void a_request_that_crashes_backends_is_reported(void **state)
 {
     static const char blocked[] =
         "time=2026-01-01T00:00:30.100Z node=front-1 subsystem=crash event=ended backend=i-2 born=5 "
@@ -70,8 +70,8 @@
         "status=503 reason=crashes-back-ends sends=0 events=0 took_ms=0 trail=\"\"\n";
     struct explanation explanation;
     assert_true(explain_request(blocked, strlen(blocked), "ef56", &explanation));
-    assert_non_null(strstr(explanation.sentence, "several back ends ended while they ran this"));
-    assert_true(holds(explanation.beliefs, "proof=refused"));
+    assert_non_null(strstr(explanation.summary, "several back ends ended while they ran this"));
+    assert_true(holds(explanation.node_state, "proof=refused"));
     explanation_clear(&explanation);
 }
 
@@ -82,7 +82,7 @@
     assert_false(explain_request("", 0, "ab12", &explanation));
 }
 
-static void back_ends_that_want_nothing_are_named(void **state)
+static void backends_in_backoff_are_reported(void **state)
 {
     static const char lines[] =
         "time=2026-01-01T00:00:01.000Z level=info node=edge-1 subsystem=backend event=backs-off "
@@ -91,18 +91,18 @@
         "request=b2 status=503 reason=backed-off backend=- sends=0 events=0 took_ms=0 trail=\"\"\n";
     struct explanation explanation;
     assert_true(explain_request(lines, strlen(lines), "b2", &explanation));
-    assert_non_null(strstr(explanation.sentence, "had asked in an answer to get nothing"));
-    assert_true(holds(explanation.beliefs, "asked_ms=3000"));
+    assert_non_null(strstr(explanation.summary, "had asked in an answer to get nothing"));
+    assert_true(holds(explanation.node_state, "asked_ms=3000"));
     explanation_clear(&explanation);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(the_cause_is_named_with_the_beliefs_of_then),
-        cmocka_unit_test(back_ends_that_want_nothing_are_named),
-        cmocka_unit_test(a_stream_that_was_cut_is_told_from_an_answer),
-        cmocka_unit_test(a_request_that_crashes_back_ends_is_told_so),
+        cmocka_unit_test(the_cause_is_reported_with_the_node_state_at_that_time),
+        cmocka_unit_test(backends_in_backoff_are_reported),
+        cmocka_unit_test(an_aborted_stream_is_distinguished_from_a_response),
+        cmocka_unit_test(a_request_that_crashes_backends_is_reported),
         cmocka_unit_test(an_unknown_request_is_not_explained),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
