--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
 /**
- * One binary, one subcommand for each role and tool.
+ * Entry point: one subcommand for each role and operator tool.
  */
 #include "agent/agent.h"
 #include "edge/edge.h"
@@ -26,20 +26,20 @@
 };
 
 static const struct subcommand subcommands[] = {
-    {"gateway", gateway_main, "run a gateway for callers"},
-    {"agent", agent_main, "run the agent of one back-end machine"},
-    {"edge", edge_main, "run a gateway that calls back ends directly"},
+    {"gateway", gateway_main, "run a gateway for clients"},
+    {"agent", agent_main, "run the agent of one backend machine"},
+    {"edge", edge_main, "run a gateway that calls backends directly"},
     {"loader", loader_main, "run the loader of one model engine"},
     {"check", check_main, "check policies, configurations, machine lists and settings"},
-    {"plan", plan_main, "say what a new configuration would move, and why"},
-    {"status", status_main, "watch a rollout"},
-    {"suspects", suspects_main, "list requests that crash back ends, or let one run again"},
-    {"explain", explain_main, "say what became of a request, from the logs"},
-    {"report", report_main, "report service-level burn"},
+    {"plan", plan_main, "show what a new configuration would load or drop, and why"},
+    {"status", status_main, "show the progress of rollouts"},
+    {"suspects", suspects_main, "list requests that crash backends, or allow one to run again"},
+    {"explain", explain_main, "explain from the logs how a request ended"},
+    {"report", report_main, "report error-budget burn rates"},
     {"simulate", simulate_main, "simulate a whole fleet on a virtual clock"},
-    {"replay", replay_main, "run a recorded session again and compare"},
-    {"keys", keys_main, "print a key file for links between own processes"},
-    {"load", load_main, "send load to a running system and check every answer"},
+    {"replay", replay_main, "repeat a recorded session and compare the results"},
+    {"keys", keys_main, "print a key file for the links between processes"},
+    {"load", load_main, "generate load on a running system and check every answer"},
 };
 
 #define SUBCOMMAND_COUNT (sizeof subcommands / sizeof subcommands[0])
@@ -51,7 +51,8 @@
           stream);
     for (size_t i = 0; i < SUBCOMMAND_COUNT; i++)
         fprintf(stream, "  %-10s %s\n", subcommands[i].name, subcommands[i].help);
-    fputs("\n`shuntrun SUBCOMMAND --help` lists the options of one; `shuntrun --version`.\n",
+    fputs("\n`shuntrun SUBCOMMAND --help` lists its options; `shuntrun --version` prints the "
+          "version.\n",
           stream);
 }
 
@@ -59,7 +60,7 @@
 {
     char name[64];
     snprintf(name, sizeof name, "shuntrun %s", subcommand->name);
-    argv[1] = name; /* argp prints it in usage and errors */
+    argv[1] = name; /* argp prints it in usage and error messages */
     return subcommand->run(argc - 1, argv + 1);
 }
 
--- a/src/tool/answer_check.c
+++ b/src/tool/answer_check.c
@@ -41,7 +41,8 @@
             outcome && strcmp(outcome, "not-run") == 0 ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
 }
 
-/* \return whether the line is a token */
+/* A line is a header ({"digest", "version"}), a token ({"i", "t"}) or an outcome ({"end",
+ * "outcome"}). \return whether it is a token */
 static bool check_line(struct answer_check *check, const char *line, size_t size)
 {
     json_t *root = json_loadb(line, size, 0, NULL);
@@ -54,7 +55,7 @@
                     json_string_value(json_object_get(root, "t")));
     } else if (digest) {
         const char *version = json_string_value(json_object_get(root, "version"));
-        check->mixed |= check->has_version; /* a second head */
+        check->mixed |= check->has_version; /* a second header */
         check->has_version = true;
         check->seed = hash_pair(hash_name(digest), hash_name(check->prompt));
         snprintf(check->version, sizeof check->version, "%s", version ? version : "");
--- a/src/tool/burn.c
+++ b/src/tool/burn.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LABEL_SIZE 64
+#define LABEL_SIZE 64 /* bytes with the terminator; the scan formats below read 63 */
 
-/* ---- reading metrics ---- */
+/* ---- Parsing of metrics ---- */
 
 static json_t *find_or_add_row(json_t *rows, const char *service, const char *tenant)
 {
@@ -71,9 +71,9 @@
     return json_pack("{s:o}", "rows", rows);
 }
 
-/* ---- working out ---- */
+/* ---- Burn rates ---- */
 
-/* Sums of one node's rows that an objective covers. */
+/* Sums over the rows of one node that an objective covers. */
 struct objective_counts {
     uint64_t requests;
     uint64_t bad;
--- a/src/tool/check.c
+++ b/src/tool/check.c
@@ -29,7 +29,7 @@
     return length >= end_length && strcmp(text + length - end_length, end) == 0;
 }
 
-/* A machine to try a policy out on when no list is given. */
+/* Used for dry runs of policies when no machine list is given. */
 static struct fleet placeholder_fleet(void)
 {
     struct fleet fleet = {memory_zero(1, sizeof *fleet.machines), 1};
@@ -41,7 +41,7 @@
     return fleet;
 }
 
-/* Call every function of the policy once for each model, machine and tenant. */
+/* Calls every function of the policy for each model, machine or tenant that it applies to. */
 static void dry_run_policy(struct policy *policy, const struct fleet_config *config,
                            const struct fleet *fleet, struct findings *findings)
 {
@@ -53,7 +53,7 @@
                          "no machine is eligible for this model");
         else if (placement.models[i].target_count < placement.models[i].wanted && fleet->count > 1)
             findings_add(findings, FINDING_WARNING, config->models[i].name,
-                         "%u replicas are wanted, %u machines can hold it",
+                         "%u replicas are wanted, but only %u machines can hold the model",
                          placement.models[i].wanted, placement.models[i].target_count);
     }
     placement_clear(&placement);
@@ -97,7 +97,8 @@
     struct tenant_config tenant;
     struct fleet_config sample = placeholder_config(&model, &tenant);
     bool valid = tool_read_config(path, &config, findings) == STATUS_OK;
-    /* The policy of a configuration with errors is tried out all the same. */
+    /* Runs the policy of an invalid configuration as well, so that all findings are reported at
+     * once. */
     if (config.policy)
         dry_run_policy(config.policy, valid ? &config.config : &sample, fleet, findings);
     tool_clear_config(&config);
@@ -153,12 +154,12 @@
         break;
     case ARGP_KEY_ARG:
         if (options->file_count == MAX_FILES)
-            argp_error(state, "more than %d files", MAX_FILES);
+            argp_error(state, "at most %d files are allowed", MAX_FILES);
         options->files[options->file_count++] = argument;
         break;
     case ARGP_KEY_END:
         if (!options->file_count)
-            argp_error(state, "a FILE is needed");
+            argp_error(state, "at least one FILE is required");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -169,15 +170,15 @@
 int check_main(int argc, char **argv)
 {
     static const struct argp_option list[] = {
-        {"machines", KEY_MACHINES, "FILE", 0, "machine list on which policies are tried out", 0},
+        {"machines", KEY_MACHINES, "FILE", 0, "machine list for dry runs of policies", 0},
         {"role", KEY_ROLE, "ROLE", 0, "role of settings files: agent or gateway (agent)", 0},
         {"output", KEY_OUTPUT, "FORMAT", 0, "json or text (text)", 0},
         {0}};
     static const char doc[] =
         "Check policies (.lua), fleet configurations and machine lists (.json), and settings files "
         "(any other name).\v"
-        "All findings are reported at once, as `place: severity: text`. Exit status 0 without "
-        "errors, 1 with, 2 for wrong usage.";
+        "All findings are reported at once, as `place: severity: text`. Exit status: 0 no errors, "
+        "1 errors found, 2 usage error.";
     struct check_options options = {.role = SETTING_ROLE_AGENT};
     struct argp argp = {list, parse_option, "FILE...", doc, NULL, NULL, NULL};
     struct findings findings = {0};
--- a/src/tool/explain.c
+++ b/src/tool/explain.c
@@ -12,7 +12,7 @@
 #define READ_SIZE 65536
 #define MAX_FIELDS 40
 
-/* One key=value pair of a line; not ended by zero. */
+/* One key=value pair of a line; neither text is zero-terminated. */
 struct log_field {
     const char *name;
     size_t name_length;
@@ -27,10 +27,9 @@
     uint32_t field_count;
 };
 
-/* --- parsing -------------------------------------------------------------------------------------
- */
+/* ---- Parsing ---- */
 
-/* A pair ends at a blank, or at the closing quotes of its value. */
+/* A value ends at a space, or at its closing quote. \return bytes read */
 static size_t parse_value(const char *text, size_t length, struct log_field *field)
 {
     size_t end = 0;
@@ -48,7 +47,7 @@
     return end;
 }
 
-/* \return false when the line does not hold a whole event of ours */
+/* \return false if the line is not a complete event of this program's log */
 static bool parse_line(const char *text, size_t length, struct log_line *line)
 {
     const char *start = memmem(text, length, "time=", 5);
@@ -96,8 +95,7 @@
     return copy;
 }
 
-/* --- collecting ----------------------------------------------------------------------------------
- */
+/* ---- Selection of lines ---- */
 
 struct line_list {
     struct log_line *lines;
@@ -139,8 +137,8 @@
     return json_stringn(line->start, line->length);
 }
 
-/* The last line of a kind, by the same node where `node` is not NULL, up to the end of the request.
- */
+/* Finds the latest line of an event that is not later than `end_line`; of any node if `node` is
+ * NULL. */
 static const struct log_line *find_last_line(const struct line_list *list,
                                              const struct log_line *end_line, const char *subsystem,
                                              const char *event, const char *node)
@@ -163,8 +161,8 @@
         json_array_append_new(node_state, line_to_json(line));
 }
 
-/* What the node knew: configuration, version of weights, members, store; and the back ends it
- * tried. */
+/* Collects what the node knew when the request ended: configuration, version of the weights,
+ * members, store, and the backends in the request's trail. */
 static json_t *collect_node_state(const struct line_list *list, const struct log_line *end_line)
 {
     static const char *const kinds[][2] = {
@@ -192,8 +190,7 @@
     return node_state;
 }
 
-/* --- the sentence --------------------------------------------------------------------------------
- */
+/* ---- Summary ---- */
 
 struct reason {
     const char *name;
@@ -201,30 +198,31 @@
 };
 
 static const struct reason reasons[] = {
-    {"done", "the back end's whole answer went to the client"},
-    {"backend-error", "the back end itself answered with a failure, which was passed on"},
-    {"full", "every fit back end was full for as long as the request may wait"},
-    {"no-backend", "no back end was fit: none listed, loading weights, or of a version too old"},
-    {"backed-off",
-     "every back end that could run it had asked in an answer to get nothing for a while"},
-    {"no-connection", "no connection to a back end came up"},
-    {"no-configuration", "this node knew no configuration yet"},
-    {"no-route", "the configuration in force has no route for it"},
-    {"unknown-key", "the configuration in force does not know its key"},
-    {"no-request-id", "it carried no request id"},
-    {"refused", "the back end refused it without running it, and it could not go elsewhere"},
-    {"misdirected", "another start of the back end, or other weights, were found at the address"},
-    {"broken", "the connection to the back end broke after the request was sent"},
-    {"silent", "the back end stayed silent after the request was sent"},
-    {"torn", "the answer ended within an event"},
-    {"no-seal", "the answer lacked the back end's signature or had an encoding"},
-    {"resume-refused", "the stream could not go on at another back end"},
-    {"crashes-back-ends", "several back ends ended while they ran this request (same caller, path "
-                          "and body), so it is not run"},
+    {"done", "the backend's complete response was forwarded to the client"},
+    {"backend-error", "the backend reported a failure of its own, which was forwarded"},
+    {"full", "every eligible backend was full for as long as the request may wait"},
+    {"no-backend",
+     "no backend was eligible: none listed, still loading weights, or version too old"},
+    {"backed-off", "every backend that could run it had asked in a response for a backoff"},
+    {"no-connection", "no connection to a backend could be established"},
+    {"no-configuration", "the node had no configuration yet"},
+    {"no-route", "the current configuration has no route for the request"},
+    {"unknown-key", "the current configuration does not contain the key of the request"},
+    {"no-request-id", "the request had no request id"},
+    {"refused", "the backend refused the request without running it, and no other could take it"},
+    {"misdirected",
+     "another incarnation of the backend, or other weights, were found at the address"},
+    {"broken", "the connection to the backend broke after the request was sent"},
+    {"silent", "the backend sent nothing for too long after the request was sent"},
+    {"torn", "the response ended within an event"},
+    {"no-seal", "the response lacked the backend's seal or had a content encoding"},
+    {"resume-refused", "the stream could not be resumed on another backend"},
+    {"crashes-back-ends", "several backends crashed while they ran this request (same caller, path "
+                          "and body), so it is blocked"},
     {"held",
-     "back ends ended while they ran this request and others, and its turn to run apart from "
-     "those did not come in time"},
-    {"time-out", "the time of the client or the route was over"},
+     "backends crashed while they ran this request and others, and it could not run in isolation "
+     "from those in time"},
+    {"time-out", "the deadline of the client or the route passed"},
 };
 
 static const char *reason_meaning(const char *reason)
@@ -232,7 +230,7 @@
     for (size_t i = 0; i < sizeof reasons / sizeof reasons[0]; i++)
         if (strcmp(reasons[i].name, reason) == 0)
             return reasons[i].meaning;
-    return "its log gives no known reason";
+    return "unknown reason";
 }
 
 static const struct log_line *find_end_line(const struct line_list *list, const char *request)
@@ -252,12 +250,12 @@
     char *took = copy_field(end_line, "took_ms"), *trail = copy_field(end_line, "trail");
     char *events = copy_field(end_line, "events");
     if (strcmp(event, "client-gone") == 0)
-        buffer_append_format(&text, "The client left %s ms after its request reached %s.", took,
-                             node);
+        buffer_append_format(&text, "The client disconnected %s ms after its request reached %s.",
+                             took, node);
     else if (strcmp(event, "cut") == 0)
         buffer_append_format(&text,
-                             "%s broke off a stream after %s ms: %s (%s). Its client had %s events "
-                             "of it, and lost the rest.",
+                             "%s aborted a stream after %s ms: %s (%s). The client had received %s "
+                             "events and lost the rest.",
                              node, took, reason_meaning(reason), reason, events);
     else
         buffer_append_format(&text, "%s answered %s%s%s%s: %s (%s).", node, status,
@@ -268,7 +266,7 @@
     const struct log_line *stop = find_last_line(list, end_line, "process", "stop", node);
     const struct log_line *start = find_last_line(list, end_line, "process", "start", node);
     if (stop && (!start || compare_times(start, stop) < 0))
-        buffer_append_format(&text, " The node was in a planned stop.");
+        buffer_append_format(&text, " The node was shutting down in a planned stop.");
     buffer_append(&text, "", 1);
     free(node);
     free(event);
@@ -307,8 +305,7 @@
     *explanation = (struct explanation){0};
 }
 
-/* --- command -------------------------------------------------------------------------------------
- */
+/* ---- Command line ---- */
 
 struct explain_options {
     const char *request;
@@ -330,10 +327,10 @@
         else if (options->file_count < MAX_FILES)
             options->files[options->file_count++] = argument;
         else
-            argp_error(state, "at most %d log files", MAX_FILES);
+            argp_error(state, "at most %d log files are allowed", MAX_FILES);
         return 0;
     case ARGP_KEY_NO_ARGS:
-        argp_error(state, "the id of a request is needed");
+        argp_error(state, "REQUEST-ID is required");
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -379,8 +376,8 @@
     static const struct argp argp = {argp_options,
                                      parse_option,
                                      "REQUEST-ID [LOG...]",
-                                     "Say what became of a request, from the logs of all "
-                                     "processes (standard input without LOG).",
+                                     "Explain from the logs of all processes how a request ended "
+                                     "and why. Reads standard input if no LOG is given.",
                                      NULL,
                                      NULL,
                                      NULL};
@@ -394,7 +391,7 @@
         explain_request(logs.data ? logs.data : "", logs.size, options.request, &explanation);
     buffer_clear(&logs);
     if (!found) {
-        fprintf(stderr, "shuntrun explain: no line names request %s\n", options.request);
+        fprintf(stderr, "shuntrun explain: no log line names request %s\n", options.request);
         return 1;
     }
     if (options.json) {
@@ -403,8 +400,8 @@
                                   explanation.node_state));
     } else {
         printf("%s\n", explanation.summary);
-        print_list("Lines of the request:", explanation.lines);
-        print_list("Believed then:", explanation.node_state);
+        print_list("Log lines of the request:", explanation.lines);
+        print_list("State known to the node at that time:", explanation.node_state);
     }
     explanation_clear(&explanation);
     return 0;
--- a/src/tool/load.c
+++ b/src/tool/load.c
@@ -21,12 +21,13 @@
 #define MAX_GATEWAYS 64
 #define MAX_TENANTS 64
 #define ADDRESS_SIZE 64
-#define TICKET_SIZE 700
+#define TICKET_SIZE 700 /* bytes with the terminator */
 #define MAX_CONNECT_ATTEMPTS 5
 #define ENDPOINTS_TIMEOUT_MS 2000
-#define ENDPOINTS_REFRESH_AHEAD_US 200000ULL
-#define START_TIMEOUT_US 30000000ULL /* without any address answer the tool gives up */
-#define CLIENT_GRACE_MS 2000 /* beyond the request's own deadline before the caller hangs up */
+#define ENDPOINTS_REFRESH_AHEAD_US 200000ULL /* before the endpoint list expires */
+#define START_TIMEOUT_US 30000000ULL         /* the tool gives up without an endpoint list */
+/* Beyond the request's deadline, before the client closes the connection. */
+#define CLIENT_GRACE_MS 2000
 
 struct gateway_list {
     char addresses[MAX_GATEWAYS][ADDRESS_SIZE];
@@ -35,7 +36,7 @@
 
 struct load_options {
     struct gateway_list gateways;
-    struct gateway_list against; /* the other side of a comparison; empty: none */
+    struct gateway_list against; /* of the second system of a comparison; empty: none */
     const char *service;
     char tenants[MAX_TENANTS][64];
     double tenant_shares[MAX_TENANTS];
@@ -45,21 +46,21 @@
     uint64_t seed;
     uint64_t tokens;
     uint64_t timeout_ms;
-    bool plain;
-    bool keys;
-    bool verify;
-    const char *record;
+    bool plain;         /* the service is not a model: one JSON response, no token stream */
+    bool keys;          /* send idempotency keys */
+    bool verify;        /* compare tokens with those of the engine stand-in */
+    const char *record; /* path of the output file, or NULL */
 };
 
 struct tenant_counts {
     uint64_t verdicts[ANSWER_VERDICTS];
 };
 
-/** One system under load, and what its callers saw. */
+/** One system under load (two in a comparison), and the results of its requests. */
 struct load_side {
     struct load *load;
     const struct gateway_list *gateways;
-    struct gateway_list endpoints; /* as last told */
+    struct gateway_list endpoints; /* from the latest endpoint list */
     char ticket[TICKET_SIZE];
     uint64_t endpoints_expire_at;
     bool endpoints_pending;
@@ -67,11 +68,11 @@
     uint64_t requests;
     uint64_t verdicts[ANSWER_VERDICTS];
     struct tenant_counts tenants[MAX_TENANTS];
-    json_t *versions; /* version to answers done */
+    json_t *versions; /* object: version -> number of completed answers */
     uint64_t tokens;
-    struct histogram first_token;
+    struct histogram first_token; /* us, as the next two */
     struct histogram between_tokens;
-    struct histogram whole;
+    struct histogram whole; /* until the end of the answer */
 };
 
 struct load {
@@ -80,8 +81,8 @@
     struct random_stream random;
     struct load_side sides[2];
     uint32_t side_count;
-    uint64_t created_at;          /* of the tool */
-    uint64_t arrivals_started_at; /* of the arrivals */
+    uint64_t created_at;          /* start of the tool, monotonic us */
+    uint64_t arrivals_started_at; /* first scheduled request, monotonic us */
     uint64_t next_arrival_at;
     uint64_t next_number;
     uint64_t requests_in_progress;
@@ -96,7 +97,7 @@
     stop_requested = 1;
 }
 
-/* ---- endpoints ---- */
+/* ---- Endpoints ---- */
 
 static void store_endpoints(struct load_side *side, const json_t *body)
 {
@@ -125,7 +126,8 @@
     json_decref(body);
 }
 
-/* Callers keep the address answer for its max-age, then ask any gateway they know. */
+/* Clients use an endpoint list for its max_age_ms, then request it again, here from the gateways in
+ * turn. */
 static void request_endpoints(struct load_side *side)
 {
     char url[256];
@@ -146,13 +148,14 @@
     loop_http(side->load->loop, &call);
 }
 
-/* ---- one request ---- */
+/* ---- Requests ---- */
 
 struct load_call {
     struct load_side *side;
     uint64_t number;
     uint32_t tenant;
-    uint64_t scheduled_at; /* intended: latency counts from here */
+    uint64_t scheduled_at; /* monotonic us; latency counts from here, so that delays of this tool
+                              count, too */
     uint64_t last_token_at;
     uint32_t attempts;
     char id[64];
@@ -208,7 +211,7 @@
     return verdict;
 }
 
-/* Verdict of a response that is no stream. */
+/* Verdict of an error response, which is JSON instead of a stream. */
 static enum answer_verdict error_verdict(struct http_response *response)
 {
     json_t *body = json_loadb((const char *)response->body, response->size, 0, NULL);
@@ -227,7 +230,7 @@
     struct load_call *call = context;
     const struct load_options *options = &call->side->load->options;
     if (response->result == HTTP_NOT_SENT && ++call->attempts < MAX_CONNECT_ATTEMPTS) {
-        start_call(call); /* nothing reached the gateway: another address may be used */
+        start_call(call); /* nothing was sent, so a retry is safe; it may pick another address */
         return;
     }
     enum answer_verdict verdict;
@@ -313,7 +316,9 @@
     start_call(call);
 }
 
-/* ---- arrivals ---- */
+/* ---- Arrivals ---- */
+
+/* Requests endpoint lists that are about to expire. \return whether all sides have had one */
 
 static bool refresh_endpoints(struct load *load, uint64_t now)
 {
@@ -352,7 +357,7 @@
         loop_stop(load->loop);
 }
 
-/* ---- options ---- */
+/* ---- Options ---- */
 
 enum load_key {
     KEY_GATEWAYS = 1000,
@@ -371,20 +376,21 @@
 };
 
 static const struct argp_option option_list[] = {
-    {"gateways", KEY_GATEWAYS, "IP:PORT,...", 0, "gateways to ask for addresses", 0},
+    {"gateways", KEY_GATEWAYS, "IP:PORT,...", 0, "gateways to request the endpoint list from", 0},
     {"against", KEY_AGAINST, "IP:PORT,...", 0,
-     "gateways of another system: each request goes to one of the two at random", 0},
+     "gateways of a second system: each request goes to one of the two at random", 0},
     {"service", KEY_SERVICE, "NAME", 0, "service to call", 0},
     {"tenants", KEY_TENANTS, "NAME:SHARE,...", 0, "tenants and their shares of the load", 0},
-    {"rate", KEY_RATE, "PER_SECOND", 0, "requests a second, arriving at random (20)", 0},
-    {"seconds", KEY_SECONDS, "S", 0, "time for which requests arrive (10)", 0},
-    {"seed", KEY_SEED, "N", 0, "seed of arrivals and tenants (1)", 0},
+    {"rate", KEY_RATE, "PER_SECOND", 0, "mean requests per second, with Poisson arrivals (20)", 0},
+    {"seconds", KEY_SECONDS, "S", 0, "duration of the arrivals (10)", 0},
+    {"seed", KEY_SEED, "N", 0, "random seed of arrivals and tenants (1)", 0},
     {"tokens", KEY_TOKENS, "N", 0, "tokens of each answer (32)", 0},
     {"timeout-ms", KEY_TIMEOUT, "MS", 0, "deadline of each request (30000)", 0},
-    {"plain", KEY_PLAIN, NULL, 0, "the service is a plain one", 0},
-    {"keys", KEY_KEYS, NULL, 0, "mark requests as unrepeatable with an idempotency key", 0},
-    {"verify", KEY_VERIFY, NULL, 0, "check every token against the engine stand-in's", 0},
-    {"record", KEY_RECORD, "FILE", 0, "write one line for each request: id outcome version", 0},
+    {"plain", KEY_PLAIN, NULL, 0, "the service is plain: one JSON response, no token stream", 0},
+    {"keys", KEY_KEYS, NULL, 0, "send an idempotency key, which marks the request as unrepeatable",
+     0},
+    {"verify", KEY_VERIFY, NULL, 0, "compare every token with that of the engine stand-in", 0},
+    {"record", KEY_RECORD, "FILE", 0, "write one line per request: id outcome version", 0},
     {0}};
 
 static void split_gateways(struct gateway_list *list, const char *text)
@@ -462,7 +468,7 @@
         break;
     case ARGP_KEY_END:
         if (!options->gateways.count || !options->service || !options->tenant_count)
-            argp_error(state, "--gateways, --service and --tenants are needed");
+            argp_error(state, "--gateways, --service and --tenants are required");
         if (!(options->rate > 0) || !(options->seconds > 0) || !options->timeout_ms)
             argp_error(state, "--rate, --seconds and --timeout-ms must be above 0");
         break;
@@ -472,7 +478,7 @@
     return 0;
 }
 
-/* ---- report ---- */
+/* ---- Results ---- */
 
 static json_t *histogram_to_json(const struct histogram *histogram)
 {
@@ -514,7 +520,8 @@
     return below > 0 ? (double)histogram_quantile(left, share) / below : 0;
 }
 
-/* Ratios of the first system to the other, from one run, so that a busy machine slows both. */
+/* Ratios of the first system to the second. Both are measured in the same run, so that a busy
+ * machine slows both alike. */
 static json_t *comparison_to_json(const struct load *load)
 {
     const struct load_side *left = &load->sides[0];
@@ -550,12 +557,12 @@
 int load_main(int argc, char **argv)
 {
     static const char doc[] =
-        "Send open-loop load to a running system and check every answer.\v"
-        "Prints one JSON object. Latencies are in milliseconds and count from the time at which a "
-        "request was meant to arrive. Exit status 1 when an answer was lost, cut, doubled or "
-        "mixed; 2 for wrong usage; 3 when no gateway told an address. With --against, one object "
-        "for "
-        "each system and the ratios between them.";
+        "Generate open-loop load against a running system and check every answer.\v"
+        "Prints one JSON object. Latencies are in milliseconds and count from the scheduled "
+        "arrival "
+        "of the request. With --against, prints an object for each system and the ratios between "
+        "them. Exit status: 0 success; 1 an answer was lost, cut, doubled or mixed; 2 usage error; "
+        "3 no gateway returned an endpoint list.";
     struct load *load = memory_zero(1, sizeof *load);
     load->options = (struct load_options){
         .rate = 20, .seconds = 10, .seed = 1, .tokens = 32, .timeout_ms = 30000};
@@ -582,7 +589,7 @@
                                           : side_to_json(&load->sides[0]));
     int exit_status = has_violation(load) ? 1 : 0;
     if (!load->arrivals_started_at) {
-        fputs("shuntrun load: no gateway told an address\n", stderr);
+        fputs("shuntrun load: no gateway returned an endpoint list\n", stderr);
         exit_status = 3;
     }
     if (load->record)
--- a/src/tool/plan.c
+++ b/src/tool/plan.c
@@ -9,7 +9,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOAD_TIME_BOUND_RATIO 1.03 /* time over the lower bound; docs/results/strategies.md */
+/* Ratio of the load time in simulations to its lower bound; docs/results/strategies.md. */
+#define LOAD_TIME_BOUND_RATIO 1.03
+/* Full copies of a model that the origin sends when no machine has its chunks: the origin budget
+ * that agent/rollout.c sets. */
+#define ORIGIN_COPIES 1
+#define ORIGIN_COPIES_TIME_WEIGHTED 4
 
 enum plan_key { KEY_MACHINES = 1000, KEY_NEW_MACHINES, KEY_ORIGIN, KEY_LINK, KEY_WHY, KEY_OUTPUT };
 
@@ -20,15 +25,15 @@
     const char *new_machines;
     double origin_bytes_per_second;
     double link_bytes_per_second;
-    const char *why_machine;
+    const char *why_machine; /* list only this machine, with all models; NULL: list changes */
     bool json;
 };
 
-/** One model on one machine, before and after. */
+/** One model on one machine, under the old and the new configuration. */
 struct placement_change {
-    const struct model_config *before; /* NULL: not held */
-    const struct model_config *after;
-    enum placement_reason reason; /* of the new placement */
+    const struct model_config *before; /* NULL: the machine does not hold the model */
+    const struct model_config *after;  /* the same */
+    enum placement_reason reason;      /* in the new placement */
 };
 
 struct plan {
@@ -64,14 +69,14 @@
         break;
     case ARGP_KEY_ARG:
         if (options->file_count == 2)
-            argp_error(state, "two configurations only");
+            argp_error(state, "exactly two configurations are required");
         options->files[options->file_count++] = argument;
         break;
     case ARGP_KEY_END:
         if (options->file_count != 2 || !options->machines)
-            argp_error(state, "OLD, NEW and --machines are needed");
+            argp_error(state, "OLD, NEW and --machines are required");
         if (!(options->origin_bytes_per_second > 0) || !(options->link_bytes_per_second > 0))
-            argp_error(state, "rates must be above 0");
+            argp_error(state, "--origin-rate and --link-rate must be above 0");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -132,18 +137,20 @@
     };
 }
 
+/* A version with the same manifest has the same chunks, so nothing is loaded. */
 static bool needs_load(const struct placement_change *change)
 {
     return change->after &&
            (!change->before || !digest_equal(&change->before->manifest, &change->after->manifest));
 }
 
+/** Changes of one model over all machines. */
 struct model_summary {
     uint32_t loads;
     uint32_t keeps;
     uint32_t drops;
     uint64_t origin_bytes;
-    double expected_seconds;
+    double expected_seconds; /* until all machines that load it are ready */
 };
 
 static struct model_summary summarize_model(const struct plan_options *options,
@@ -159,9 +166,10 @@
     }
     if (!sum.loads)
         return sum;
-    /* A machine that keeps the version can serve its chunks: the origin is not needed then. */
+    /* Machines that keep the version serve its chunks, so the origin is not used then. */
     bool time_weighted = plan->new_placement.models[model].weighting == ROLLOUT_TIME_WEIGHTED;
-    uint32_t origin_copies = sum.keeps ? 0 : (time_weighted ? 4 : 1);
+    uint32_t origin_copies =
+        sum.keeps ? 0 : (time_weighted ? ORIGIN_COPIES_TIME_WEIGHTED : ORIGIN_COPIES);
     if (origin_copies > sum.loads)
         origin_copies = sum.loads;
     sum.origin_bytes = origin_copies * config->bytes;
@@ -254,15 +262,18 @@
     static const struct argp_option list[] = {
         {"machines", KEY_MACHINES, "FILE", 0, "machine list", 0},
         {"new-machines", KEY_NEW_MACHINES, "FILE", 0, "machine list after the change", 0},
-        {"origin-rate", KEY_ORIGIN, "BYTES", 0, "bytes a second of the origin's link (2e9)", 0},
-        {"link-rate", KEY_LINK, "BYTES", 0, "bytes a second of a machine's link (1e9)", 0},
-        {"why", KEY_WHY, "MACHINE", 0, "say for one machine why each model is or is not there", 0},
+        {"origin-rate", KEY_ORIGIN, "BYTES", 0, "bytes per second of the origin's link (2e9)", 0},
+        {"link-rate", KEY_LINK, "BYTES", 0, "bytes per second of a machine's link (1e9)", 0},
+        {"why", KEY_WHY, "MACHINE", 0,
+         "explain for one machine why each model is or is not placed on it", 0},
         {"output", KEY_OUTPUT, "FORMAT", 0, "json or text (text)", 0},
         {0}};
     static const char doc[] =
-        "Say what a new configuration would move, for each machine and in sum.\v"
-        "The expected time is the lower bound of the links times the ratio measured on the "
-        "simulator. Exit status 0, 1 when a file has errors, 2 for wrong usage.";
+        "Show what a new configuration would load or drop, for each machine and in total.\v"
+        "The expected time is the lower bound given by the link rates, times the ratio of load "
+        "time "
+        "to this bound in the simulator. Exit status: 0 success, 1 a file has errors, 2 usage "
+        "error.";
     struct plan_options options = {.origin_bytes_per_second = 2e9, .link_bytes_per_second = 1e9};
     struct argp argp = {list, parse_option, "OLD NEW", doc, NULL, NULL, NULL};
     struct plan plan = {0};
--- a/src/tool/report.c
+++ b/src/tool/report.c
@@ -31,16 +31,16 @@
     const char *addresses[MAX_ADDRESSES];
     uint32_t address_count;
     const char *objectives;
-    double interval_s;
+    double interval_s; /* between samples */
     double duration_s;
-    const char *record_path;
-    const char *recording_path;
+    const char *record_path;    /* recording to append to, or NULL */
+    const char *recording_path; /* recording to read instead of gateways, or NULL */
     double windows[BURN_MAX_WINDOWS];
     uint32_t window_count;
     const char *output;
 };
 
-/* ---- samples ---- */
+/* ---- Samples ---- */
 
 static json_t *sample_gateways(const struct report_options *options)
 {
@@ -95,7 +95,7 @@
             json_array_append_new(samples, sample);
             continue;
         }
-        fprintf(stderr, "%s:%d: error: not a sample\n", path, number);
+        fprintf(stderr, "%s:%d: error: line is not a JSON object with `nodes`\n", path, number);
         json_decref(sample);
         json_decref(samples);
         samples = NULL;
@@ -105,7 +105,7 @@
     return samples;
 }
 
-/* ---- output ---- */
+/* ---- Output ---- */
 
 static json_t *burn_to_json(const struct burn_objective *burn)
 {
@@ -169,7 +169,7 @@
     free(burns);
 }
 
-/* ---- options ---- */
+/* ---- Options ---- */
 
 static void parse_windows(struct report_options *options, char *text, struct argp_state *state)
 {
@@ -212,14 +212,14 @@
         break;
     case ARGP_KEY_ARG:
         if (options->address_count == MAX_ADDRESSES)
-            argp_error(state, "more than %d addresses", MAX_ADDRESSES);
+            argp_error(state, "at most %d addresses are allowed", MAX_ADDRESSES);
         options->addresses[options->address_count++] = argument;
         break;
     case ARGP_KEY_END:
         if (!options->objectives || (!options->recording_path && !options->address_count))
-            argp_error(state, "--objectives and gateways or --from are needed");
+            argp_error(state, "--objectives, and gateways or --from, are required");
         if (!(options->interval_s > 0) || !(options->duration_s >= 0))
-            argp_error(state, "--every must be above 0");
+            argp_error(state, "--every must be above 0, and --for at least 0");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -249,15 +249,17 @@
         {"every", KEY_EVERY, "S", 0, "seconds between samples (1)", 0},
         {"for", KEY_FOR, "S", 0, "seconds to sample (10)", 0},
         {"record", KEY_RECORD, "FILE", 0, "append the samples to a recording", 0},
-        {"from", KEY_FROM, "FILE", 0, "report on a recording, not on running gateways", 0},
-        {"windows", KEY_WINDOWS, "S,...", 0, "windows of burn rates in seconds (60,300,3600)", 0},
+        {"from", KEY_FROM, "FILE", 0, "read a recording instead of running gateways", 0},
+        {"windows", KEY_WINDOWS, "S,...", 0, "windows of the burn rates in seconds (60,300,3600)",
+         0},
         {"output", KEY_OUTPUT, "FORMAT", 0, "text, json or html (text)", 0},
         {0}};
     static const char doc[] =
-        "Report service-level burn for each objective: burn rates over several windows, and the "
-        "error budget left.\v"
-        "Samples the counters of the gateways given as IP:PORT, or reads a recording. Exit status "
-        "0, 1 when a file has errors, 2 for wrong usage.";
+        "Report for each service-level objective the burn rates over several windows, and the "
+        "error "
+        "budget left.\v"
+        "Samples the counters of the gateways given as IP:PORT, or reads a recording. Exit status: "
+        "0 success, 1 a file has errors, 2 usage error.";
     struct report_options options = {.interval_s = 1,
                                      .duration_s = 10,
                                      .windows = {60, 300, 3600},
--- a/src/tool/report_page.c
+++ b/src/tool/report_page.c
@@ -2,14 +2,15 @@
 
 #include <inttypes.h>
 
+/* Lengths in CSS pixels. */
 #define PLOT_WIDTH 640.0
 #define PLOT_HEIGHT 140.0
 #define PLOT_LEFT 48.0
 #define PLOT_TOP 10.0
-#define MIN_AXIS_BURN 2.0 /* the axis reaches at least so far */
+#define MIN_AXIS_BURN 2.0 /* the burn-rate axis covers at least 0 to this */
 
 static const char head[] =
-    "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Service-level burn"
+    "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Error-budget burn"
     "</title>\n<style>\n"
     "body{font:15px/1.5 sans-serif;margin:2em auto;max-width:760px;color:#222}\n"
     "table{border-collapse:collapse;margin:.6em 0}\n"
@@ -17,10 +18,9 @@
     "td:first-child,th:first-child{text-align:left}\n"
     ".bad{color:#b00020;font-weight:bold}\n"
     "svg{background:#fafafa;border:1px solid #ddd}\n"
-    "</style></head><body>\n<h1>Service-level burn</h1>\n"
-    "<p>A burn rate of 1 uses the error budget up exactly at the objective's pace. Bad requests "
-    "are "
-    "those that ended as not run or unknown.</p>\n";
+    "</style></head><body>\n<h1>Error-budget burn</h1>\n"
+    "<p>At a burn rate of 1 the error rate is exactly the one that the objective allows. Bad "
+    "requests are those with the outcome not run or unknown.</p>\n";
 
 static double interval_burn_rate(const struct burn_objective *burn, uint32_t index)
 {
--- a/src/tool/report_page.h
+++ b/src/tool/report_page.h
@@ -1,5 +1,5 @@
 /**
- * The burn report as an HTML page with plots that needs nothing from outside.
+ * The burn-rate report as a self-contained HTML page with plots.
  */
 #ifndef SHUNTRUN_REPORT_PAGE_H
 #define SHUNTRUN_REPORT_PAGE_H
@@ -8,6 +8,7 @@
 
 #include <stdio.h>
 
+/** \brief Write the page, with one section for each of `count` objectives. */
 void report_page_print(FILE *stream, const struct burn_objective *burns, uint32_t count);
 
 #endif
--- a/src/tool/status.c
+++ b/src/tool/status.c
@@ -30,10 +30,10 @@
     char model[64];
     char version[64];
     char zone[64];
-    uint32_t machines;
+    uint32_t machines; /* that load or have it */
     uint32_t ready;
-    uint64_t chunks;
-    uint64_t held_chunks;
+    uint64_t chunks;      /* of all these machines */
+    uint64_t held_chunks; /* of these, present on the machines */
 };
 
 struct progress_list {
@@ -79,7 +79,7 @@
     }
 }
 
-/* The machine list of the first node that answers. */
+/* \return machine list from the first node that responds, or NULL */
 static json_t *get_machines(const struct status_options *options)
 {
     for (uint32_t i = 0; i < options->address_count; i++) {
@@ -92,8 +92,8 @@
 }
 
 struct fleet_status {
-    json_t *nodes;       /* status of each that answered */
-    json_t *unreachable; /* names of those that did not */
+    json_t *nodes;       /* status objects of the nodes that responded */
+    json_t *unreachable; /* names of the nodes that did not respond */
     struct progress_list progress;
 };
 
@@ -149,7 +149,7 @@
     return progress->chunks ? (double)progress->held_chunks / (double)progress->chunks : 0;
 }
 
-/* Seconds left at the speed since the last look; below 0: not known. */
+/* Remaining seconds at the rate since the previous refresh; negative if unknown. */
 static double seconds_left(const struct fleet_status *fleet, const struct progress_list *previous,
                            uint32_t index)
 {
@@ -199,7 +199,7 @@
                json_is_true(json_object_get(node, "draining")) ? "  draining" : "");
     }
     json_array_foreach(fleet->unreachable, index, node)
-        printf("%-16s does not answer\n", json_string_value(node));
+        printf("%-16s does not respond\n", json_string_value(node));
 }
 
 static bool all_ready(const struct fleet_status *fleet)
@@ -222,12 +222,12 @@
         break;
     case ARGP_KEY_ARG:
         if (options->address_count == MAX_ADDRESSES)
-            argp_error(state, "more than %d addresses", MAX_ADDRESSES);
+            argp_error(state, "at most %d addresses are allowed", MAX_ADDRESSES);
         options->addresses[options->address_count++] = argument;
         break;
     case ARGP_KEY_END:
         if (!options->address_count)
-            argp_error(state, "an ADDRESS is needed");
+            argp_error(state, "at least one ADDRESS is required");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -276,8 +276,8 @@
         {0}};
     static const char doc[] =
         "Show the progress of rollouts for each model and zone, and the state of each node.\v"
-        "ADDRESS is the IP:PORT of any gateway or agent; the others are found through it. Exit "
-        "status 0, 1 when no address answers, 2 for wrong usage.";
+        "ADDRESS is the IP:PORT of any gateway or agent, which lists all other nodes. Exit status: "
+        "0 success, 1 no address responds, 2 usage error.";
     struct status_options options = {0};
     struct argp argp = {list, parse_option, "ADDRESS...", doc, NULL, NULL, NULL};
     argp_err_exit_status = 2;
--- a/src/tool/suspects.c
+++ b/src/tool/suspects.c
@@ -9,12 +9,12 @@
 
 #define KEY_LIFT 'l'
 #define KEY_OUTPUT 1000
-#define TARGET_SIZE 128
+#define TARGET_SIZE 128 /* bytes of a request target with the terminator */
 #define MS_PER_SECOND 1000
 
 struct suspects_options {
     const char *address;
-    const char *lift_identity; /* identity, or NULL: list */
+    const char *lift_identity; /* identity whose block is lifted; NULL: list all */
     bool json;
 };
 
@@ -30,12 +30,12 @@
         break;
     case ARGP_KEY_ARG:
         if (options->address)
-            argp_error(state, "one ADDRESS only");
+            argp_error(state, "exactly one ADDRESS is allowed");
         options->address = argument;
         break;
     case ARGP_KEY_END:
         if (!options->address)
-            argp_error(state, "an ADDRESS is needed");
+            argp_error(state, "ADDRESS is required");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -104,15 +104,16 @@
 int suspects_main(int argc, char **argv)
 {
     static const struct argp_option list[] = {
-        {"lift", KEY_LIFT, "IDENTITY", 0, "let this request run again, at all gateways", 0},
+        {"lift", KEY_LIFT, "IDENTITY", 0, "allow this request to run again, on all gateways", 0},
         {"output", KEY_OUTPUT, "FORMAT", 0, "json or text (text)", 0},
         {0}};
     static const char doc[] =
-        "List the requests that were there when back ends ended, as one node knows them: all that "
-        "were at more than one end at a gateway, a part of them at a loader.\vADDRESS is the "
-        "IP:PORT of a gateway's or loader's metrics. `event=run-lost identity=...` in the logs "
-        "names the request ids of an identity. Exit status 0, 1 when the node does not answer or "
-        "holds nothing against the identity, 2 for wrong usage.";
+        "List the requests that were running when backends crashed, as known to one node. A "
+        "gateway "
+        "knows all that were present at more than one crash, a loader a part of them.\vADDRESS is "
+        "the IP:PORT of the metrics of a gateway or loader. `event=run-lost identity=...` in the "
+        "logs names the request ids of an identity. Exit status: 0 success, 1 the node does not "
+        "respond or has no entry for the identity, 2 usage error.";
     struct suspects_options options = {0};
     struct argp argp = {list, parse_option, "ADDRESS", doc, NULL, NULL, NULL};
     argp_err_exit_status = 2;
--- a/src/tool/tool.c
+++ b/src/tool/tool.c
@@ -44,7 +44,7 @@
     return unit * count;
 }
 
-/* \param body sent with POST; NULL: GET */
+/* \param body sent with POST; NULL: GET. \return response body that the caller frees, or NULL */
 static char *send_request(const char *address, const char *path, const char *body)
 {
     char url[512];
@@ -88,7 +88,7 @@
     char *text = tool_get_text(address, path);
     json_t *value = text ? json_loads(text, 0, NULL) : NULL;
     if (text && !value)
-        status_fail(STATUS_INVALID, "%s%s: no JSON", address, path);
+        status_fail(STATUS_INVALID, "%s%s: response is not JSON", address, path);
     free(text);
     return value;
 }
@@ -140,7 +140,7 @@
         config->policy = policy_create(policy_name, policy_text, findings);
     free(policy_text);
     if (status == STATUS_OK && !config->policy)
-        status = status_fail(STATUS_INVALID, "the policy is refused");
+        status = status_fail(STATUS_INVALID, "the policy is invalid");
     return status;
 }
 
--- a/src/tool/tool.h
+++ b/src/tool/tool.h
@@ -1,5 +1,5 @@
 /**
- * What the tools share: whole files, HTTP reads, JSON output.
+ * Shared functions of the operator tools: file input, HTTP requests, JSON output.
  */
 #ifndef SHUNTRUN_TOOL_H
 #define SHUNTRUN_TOOL_H
@@ -13,20 +13,22 @@
 #include <argp.h>
 #include <jansson.h>
 
-/** \brief Read a file. \param text owned by the caller, closed by a zero */
+/** \brief Read a whole file. \param text set to zero-terminated text that the caller frees */
 enum status tool_read_file(const char *path, char **text, size_t *size);
 
-/** \brief GET http://ADDRESS/PATH and parse JSON. \return NULL with a status message */
+/** \brief GET http://ADDRESSPATH and parse JSON. \return new reference, or NULL with a status
+ * message */
 json_t *tool_get_json(const char *address, const char *path);
-/** \brief GET text. \return owned text, or NULL with a status message */
+/** \brief GET text. \return text that the caller frees, or NULL with a status message */
 char *tool_get_text(const char *address, const char *path);
-/** \brief POST without a body. \return owned text of the answer, or NULL with a status message */
+/** \brief POST without a body. \return response that the caller frees, or NULL with a status
+ * message */
 char *tool_post(const char *address, const char *path);
 
-/** \brief Value of `--output`: true for json, false for text; any other ends with a usage error. */
+/** \brief Parse `--output`: true for json, false for text; any other value is a usage error. */
 bool tool_parse_output(const char *text, struct argp_state *state);
 
-/** \brief Print indented JSON and release it. */
+/** \brief Print indented JSON to standard output and release the reference. */
 void tool_print_json(json_t *value);
 
 /** \brief Findings as a JSON array of {place, severity, text}. */
@@ -38,7 +40,8 @@
     struct policy *policy;
 };
 
-/** \brief Read and check a fleet configuration file; findings are placed as `file: place`. */
+/** \brief Read and check a fleet configuration file; the place of a finding starts with the file.
+ */
 enum status tool_read_config(const char *path, struct tool_config *config,
                              struct findings *findings);
 void tool_clear_config(struct tool_config *config);
--- a/tests/tool/burn_test.c
+++ b/tests/tool/burn_test.c
@@ -1,3 +1,4 @@
+/* Burn rates from gateway counters, also across the restart of a gateway. */
 #include "testing.h"
 
 #include "tool/burn.h"
--- a/tests/tool/explain_test.c
+++ b/tests/tool/explain_test.c
@@ -1,4 +1,4 @@
-/* From a request's id to its cause, in logs that are unsorted, interleaved and torn. */
+/* Explanations of requests from logs that are unsorted, interleaved and truncated. */
 #include "testing.h"
 
 #include "tool/explain.h"
@@ -35,7 +35,7 @@
     struct explanation explanation;
     assert_true(explain_request(logs, strlen(logs), "ab12", &explanation));
     assert_non_null(strstr(explanation.summary, "front-1 answered 502 after 20 ms"));
-    assert_non_null(strstr(explanation.summary, "connection to the back end broke"));
+    assert_non_null(strstr(explanation.summary, "connection to the backend broke"));
     assert_non_null(strstr(explanation.summary, "planned stop"));
     assert_int_equal(json_array_size(explanation.lines), 1);
     assert_true(holds(explanation.node_state, "version=7"));
@@ -53,11 +53,11 @@
         "status=502 reason=no-backend sends=1 events=14 took_ms=900 trail=\"i-2@0ms,broken;\"\n";
     struct explanation explanation;
     assert_true(explain_request(cut, strlen(cut), "cd34", &explanation));
-    assert_non_null(strstr(explanation.summary, "front-1 broke off a stream after 900 ms"));
-    assert_non_null(strstr(explanation.summary, "had 14 events of it, and lost the rest"));
+    assert_non_null(strstr(explanation.summary, "front-1 aborted a stream after 900 ms"));
+    assert_non_null(strstr(explanation.summary, "had received 14 events and lost the rest"));
     explanation_clear(&explanation);
     assert_true(explain_request(logs, strlen(logs), "ab12", &explanation));
-    assert_null(strstr(explanation.summary, "broke off a stream"));
+    assert_null(strstr(explanation.summary, "aborted a stream"));
     explanation_clear(&explanation);
 }
 
@@ -70,7 +70,7 @@
         "status=503 reason=crashes-back-ends sends=0 events=0 took_ms=0 trail=\"\"\n";
     struct explanation explanation;
     assert_true(explain_request(blocked, strlen(blocked), "ef56", &explanation));
-    assert_non_null(strstr(explanation.summary, "several back ends ended while they ran this"));
+    assert_non_null(strstr(explanation.summary, "several backends crashed while they ran this"));
     assert_true(holds(explanation.node_state, "proof=refused"));
     explanation_clear(&explanation);
 }
@@ -91,7 +91,7 @@
         "request=b2 status=503 reason=backed-off backend=- sends=0 events=0 took_ms=0 trail=\"\"\n";
     struct explanation explanation;
     assert_true(explain_request(lines, strlen(lines), "b2", &explanation));
-    assert_non_null(strstr(explanation.summary, "had asked in an answer to get nothing"));
+    assert_non_null(strstr(explanation.summary, "had asked in a response for a backoff"));
     assert_true(holds(explanation.node_state, "asked_ms=3000"));
     explanation_clear(&explanation);
 }
