--- a/src/tool/check.c
+++ b/src/tool/check.c
@@ -29,8 +29,8 @@
     return length >= end_length && strcmp(text + length - end_length, end) == 0;
 }
 
-/* A machine to try a policy out on when no list is given. */
-static struct fleet sample_fleet(void)
+/* Used for dry runs of policies when no machine list is given. */
+static struct fleet placeholder_fleet(void)
 {
     struct fleet fleet = {memory_calloc(1, sizeof *fleet.machines), 1};
     struct machine *machine = &fleet.machines[0];
@@ -41,9 +41,9 @@
     return fleet;
 }
 
-/* Call every function of the policy once for each model, machine and tenant. */
-static void try_policy(struct policy *policy, const struct fleet_config *config,
-                       const struct fleet *fleet, struct findings *findings)
+/* Calls every function of the policy for each model, machine or tenant that it applies to. */
+static void dry_run_policy(struct policy *policy, const struct fleet_config *config,
+                           const struct fleet *fleet, struct findings *findings)
 {
     struct placement placement = placement_compute(config, fleet, policy, findings);
     struct fleet_summary summary = fleet_summarize(fleet);
@@ -53,7 +53,7 @@
                          "no machine is eligible for this model");
         else if (placement.models[i].target_count < placement.models[i].wanted && fleet->count > 1)
             findings_add(findings, FINDING_WARNING, config->models[i].name,
-                         "%u replicas are wanted, %u machines can hold it",
+                         "%u replicas are wanted, but only %u machines can hold the model",
                          placement.models[i].wanted, placement.models[i].target_count);
     }
     placement_clear(&placement);
@@ -63,7 +63,8 @@
         policy_may_leave(policy, &fleet->machines[i], &summary, findings);
 }
 
-static struct fleet_config sample_config(struct model_config *model, struct tenant_config *tenant)
+static struct fleet_config placeholder_config(struct model_config *model,
+                                              struct tenant_config *tenant)
 {
     *model = (struct model_config){.name = "sample", .version = "v1", .accelerators = 1};
     *tenant = (struct tenant_config){.name = "sample", .weight = 1};
@@ -77,7 +78,7 @@
     size_t size;
     struct model_config model;
     struct tenant_config tenant;
-    struct fleet_config config = sample_config(&model, &tenant);
+    struct fleet_config config = placeholder_config(&model, &tenant);
     if (tool_read_file(path, &text, &size) != STATUS_OK) {
         findings_add(findings, FINDING_ERROR, path, "%s", status_message());
         return;
@@ -85,7 +86,7 @@
     struct policy *policy = policy_create(path, text, findings);
     free(text);
     if (policy)
-        try_policy(policy, &config, fleet, findings);
+        dry_run_policy(policy, &config, fleet, findings);
     policy_destroy(policy);
 }
 
@@ -94,11 +95,12 @@
     struct tool_config config;
     struct model_config model;
     struct tenant_config tenant;
-    struct fleet_config sample = sample_config(&model, &tenant);
-    bool good = tool_read_config(path, &config, findings) == STATUS_OK;
-    /* The policy of a configuration with errors is tried out all the same. */
+    struct fleet_config sample = placeholder_config(&model, &tenant);
+    bool valid = tool_read_config(path, &config, findings) == STATUS_OK;
+    /* Runs the policy of an invalid configuration as well, so that all findings are reported at
+     * once. */
     if (config.policy)
-        try_policy(config.policy, good ? &config.config : &sample, fleet, findings);
+        dry_run_policy(config.policy, valid ? &config.config : &sample, fleet, findings);
     tool_clear_config(&config);
 }
 
@@ -152,12 +154,12 @@
         break;
     case ARGP_KEY_ARG:
         if (options->file_count == MAX_FILES)
-            argp_error(state, "more than %d files", MAX_FILES);
+            argp_error(state, "at most %d files are allowed", MAX_FILES);
         options->files[options->file_count++] = argument;
         break;
     case ARGP_KEY_END:
         if (!options->file_count)
-            argp_error(state, "a FILE is needed");
+            argp_error(state, "at least one FILE is required");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -168,15 +170,15 @@
 int check_main(int argc, char **argv)
 {
     static const struct argp_option list[] = {
-        {"machines", KEY_MACHINES, "FILE", 0, "machine list on which policies are tried out", 0},
+        {"machines", KEY_MACHINES, "FILE", 0, "machine list for dry runs of policies", 0},
         {"role", KEY_ROLE, "ROLE", 0, "role of settings files: agent or gateway (agent)", 0},
         {"output", KEY_OUTPUT, "FORMAT", 0, "json or text (text)", 0},
         {0}};
     static const char doc[] =
         "Check policies (.lua), fleet configurations and machine lists (.json), and settings files "
         "(any other name).\v"
-        "All findings are reported at once, as `place: severity: text`. Exit status 0 without "
-        "errors, 1 with, 2 for wrong usage.";
+        "All findings are reported at once, as `place: severity: text`. Exit status: 0 no errors, "
+        "1 errors found, 2 usage error.";
     struct check_options options = {.role = SETTING_ROLE_AGENT};
     struct argp argp = {list, parse_option, "FILE...", doc, NULL, NULL, NULL};
     struct findings findings = {0};
@@ -184,7 +186,7 @@
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     if (!options.machines || tool_read_machines(options.machines, &fleet, &findings) != STATUS_OK)
-        fleet = sample_fleet();
+        fleet = placeholder_fleet();
     for (uint32_t i = 0; i < options.file_count; i++)
         check_file(&options, options.files[i], &fleet, &findings);
     if (options.json)
--- a/src/tool/report_page.c
+++ b/src/tool/report_page.c
@@ -2,14 +2,15 @@
 
 #include <inttypes.h>
 
+/* Lengths in CSS pixels. */
 #define PLOT_WIDTH 640.0
 #define PLOT_HEIGHT 140.0
 #define PLOT_LEFT 48.0
 #define PLOT_TOP 10.0
-#define LEAST_BURN_SHOWN 2.0 /* the axis reaches at least so far */
+#define MIN_AXIS_BURN 2.0 /* the burn-rate axis covers at least 0 to this */
 
 static const char head[] =
-    "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Service-level burn"
+    "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Error-budget burn"
     "</title>\n<style>\n"
     "body{font:15px/1.5 sans-serif;margin:2em auto;max-width:760px;color:#222}\n"
     "table{border-collapse:collapse;margin:.6em 0}\n"
@@ -17,67 +18,66 @@
     "td:first-child,th:first-child{text-align:left}\n"
     ".bad{color:#b00020;font-weight:bold}\n"
     "svg{background:#fafafa;border:1px solid #ddd}\n"
-    "</style></head><body>\n<h1>Service-level burn</h1>\n"
-    "<p>A burn rate of 1 uses the error budget up exactly at the objective's pace. Bad requests "
-    "are "
-    "those that ended as not run or unknown.</p>\n";
+    "</style></head><body>\n<h1>Error-budget burn</h1>\n"
+    "<p>At a burn rate of 1 the error rate is exactly the one that the objective allows. Bad "
+    "requests are those with the outcome not run or unknown.</p>\n";
 
-static double step_burn(const struct burn_objective *burn, uint32_t index)
+static double interval_burn_rate(const struct burn_objective *burn, uint32_t index)
 {
-    const struct burn_step *step = &burn->steps[index];
-    if (!step->requests)
+    const struct burn_interval *interval = &burn->intervals[index];
+    if (!interval->requests)
         return 0;
-    return (double)step->bad / (double)step->requests / (1 - burn->objective.availability);
+    return (double)interval->bad / (double)interval->requests / (1 - burn->objective.availability);
 }
 
-static double greatest_burn(const struct burn_objective *burn)
+static double find_axis_max(const struct burn_objective *burn)
 {
-    double greatest = LEAST_BURN_SHOWN;
-    for (uint32_t i = 0; i < burn->step_count; i++)
-        if (step_burn(burn, i) > greatest)
-            greatest = step_burn(burn, i);
-    return greatest;
+    double axis_max = MIN_AXIS_BURN;
+    for (uint32_t i = 0; i < burn->interval_count; i++)
+        if (interval_burn_rate(burn, i) > axis_max)
+            axis_max = interval_burn_rate(burn, i);
+    return axis_max;
 }
 
-static double y_of(double value, double greatest)
+static double plot_y(double value, double axis_max)
 {
-    return PLOT_TOP + PLOT_HEIGHT * (1 - value / greatest);
+    return PLOT_TOP + PLOT_HEIGHT * (1 - value / axis_max);
 }
 
-static void print_axis(FILE *stream, double greatest, double seconds)
+static void print_axis(FILE *stream, double axis_max, double seconds)
 {
     fprintf(stream,
             "<line x1=\"%.0f\" x2=\"%.0f\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#b00020\" "
             "stroke-dasharray=\"4 3\"/>\n",
-            PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, y_of(1, greatest), y_of(1, greatest));
+            PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, plot_y(1, axis_max), plot_y(1, axis_max));
     fprintf(stream,
             "<g font-size=\"11\" fill=\"#555\"><text x=\"4\" y=\"%.1f\">%.1f</text>"
             "<text x=\"4\" y=\"%.1f\">1</text><text x=\"4\" y=\"%.1f\">0</text>"
             "<text x=\"%.0f\" y=\"%.1f\">0 s</text><text x=\"%.0f\" y=\"%.1f\" "
             "text-anchor=\"end\">%.0f s</text></g>\n",
-            y_of(greatest, greatest) + 8, greatest, y_of(1, greatest) + 4, y_of(0, greatest),
+            plot_y(axis_max, axis_max) + 8, axis_max, plot_y(1, axis_max) + 4, plot_y(0, axis_max),
             PLOT_LEFT, PLOT_TOP + PLOT_HEIGHT + 16, PLOT_LEFT + PLOT_WIDTH,
             PLOT_TOP + PLOT_HEIGHT + 16, seconds);
 }
 
 static void print_plot(FILE *stream, const struct burn_objective *burn)
 {
-    double greatest = greatest_burn(burn);
-    double seconds = burn->step_count ? burn->steps[burn->step_count - 1].seconds : 1;
+    double axis_max = find_axis_max(burn);
+    double seconds = burn->interval_count ? burn->intervals[burn->interval_count - 1].seconds : 1;
     fprintf(
         stream,
         "<svg width=\"%.0f\" height=\"%.0f\" role=\"img\" aria-label=\"burn rate over time\">\n",
         PLOT_LEFT + PLOT_WIDTH + 16, PLOT_TOP + PLOT_HEIGHT + 24);
-    print_axis(stream, greatest, seconds);
+    print_axis(stream, axis_max, seconds);
     fputs("<polyline fill=\"none\" stroke=\"#1a5fb4\" stroke-width=\"2\" points=\"", stream);
-    for (uint32_t i = 0; i < burn->step_count; i++)
+    for (uint32_t i = 0; i < burn->interval_count; i++)
         fprintf(stream, "%.1f,%.1f ",
-                PLOT_LEFT + PLOT_WIDTH * burn->steps[i].seconds / (seconds > 0 ? seconds : 1),
-                y_of(step_burn(burn, i), greatest));
+                PLOT_LEFT + PLOT_WIDTH * burn->intervals[i].seconds / (seconds > 0 ? seconds : 1),
+                plot_y(interval_burn_rate(burn, i), axis_max));
     fputs("\"/>\n</svg>\n", stream);
 }
 
-static const char *class_of(double burn)
+static const char *css_class(double burn)
 {
     return burn > 1 ? " class=\"bad\"" : "";
 }
@@ -101,8 +101,8 @@
         const struct burn_window *window = &burn->windows[i];
         fprintf(stream,
                 "<tr><td>%.0f s</td><td>%" PRIu64 "</td><td%s>%.2f</td><td%s>%.2f</td></tr>\n",
-                window->seconds, window->requests, class_of(window->availability_burn),
-                window->availability_burn, class_of(window->latency_burn), window->latency_burn);
+                window->seconds, window->requests, css_class(window->availability_burn),
+                window->availability_burn, css_class(window->latency_burn), window->latency_burn);
     }
     fputs("</table>\n", stream);
 }
