--- a/src/core/executor.c
+++ b/src/core/executor.c
@@ -235,7 +235,7 @@
     if (forward->agent_incarnation != executor->incarnation)
         return "the request is for another incarnation of this agent";
     if (forward->pause_epoch != executor->pause_epoch)
-        return "the request was sent before this agent resumed from a pause";
+        return "the request was sent before this agent woke from a pause";
     if (executor->draining)
         return "this machine is leaving";
     return NULL;
@@ -255,13 +255,13 @@
                    : "the agent restarted; a key without a ticket cannot be checked yet";
     }
     if (ticket.homes_hash != ticket_homes_hash(service))
-        return "the homes of this service changed since the ticket was issued";
+        return "the homes of this service moved since the ticket was given";
     for (uint32_t i = 0; i < service->machine_count && i < ticket.home_count; i++) {
         if (service->machines[i] != executor->self)
             continue;
         uint64_t epoch = executor_ticket_epoch(executor, now);
         if (ticket.homes[i].incarnation != executor->incarnation)
-            return "the agent restarted since the ticket was issued";
+            return "the agent restarted since the ticket was given";
         if (ticket.homes[i].epoch + VALID_TICKET_EPOCHS <= epoch)
             return "the ticket is too old";
         return NULL;
@@ -303,8 +303,8 @@
     answer.kind = SHUNTRUN__ANSWER_KIND__ANSWER_UNKNOWN;
     answer.replayed = true;
     answer.retry_after_ms = running ? BUSY_RETRY_AFTER_MS : 0;
-    answer.reason = running ? "the first request with this key is still running"
-                            : "no answer is stored for this key";
+    answer.reason = running ? "the first request under this key is running"
+                            : "the answer to this key is not known";
     send_answer(executor, route, forward->gateway_incarnation, forward->sequence, &answer);
 }
 
@@ -329,7 +329,7 @@
         return false;
     }
     if (key_table_count(executor->keys) >= executor->settings.key_limit) {
-        reject_request(executor, route, forward, "too many idempotency keys are stored",
+        reject_request(executor, route, forward, "too many idempotency keys are held",
                        DRAIN_RETRY_AFTER_MS);
         return false;
     }
@@ -402,15 +402,14 @@
     bool serves = service->kind == SERVICE_MODEL ? model != NULL
                                                  : strcmp(executor->service, service->name) == 0;
     if (!serves) {
-        reject_request(executor, route, forward,
-                       "this agent does not serve the requested service or model version", 0);
+        reject_request(executor, route, forward, "this machine does not serve that now", 0);
         return;
     }
     if (forward->idempotency_key[0] && !admit_key(executor, now, route, forward, service))
         return;
     uint32_t tenant = admission_find(&executor->admission, forward->tenant);
     if (tenant == ADMISSION_UNKNOWN_TENANT) {
-        reject_request(executor, route, forward, "unknown tenant", 0);
+        reject_request(executor, route, forward, "the tenant is not known", 0);
         return;
     }
     if (executor->run_count >= executor->settings.capacity ||
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -207,7 +207,8 @@
     }
     if (!retry_after_ms)
         retry_after_ms = NO_AGENT_RETRY_AFTER_MS;
-    fail_request(router, request, reason[0] ? reason : "no replica is available", retry_after_ms);
+    fail_request(router, request, reason[0] ? reason : "no replica can take the request now",
+                 retry_after_ms);
 }
 
 static void retry_request(struct router *router, uint64_t now, struct request *request,
@@ -286,7 +287,7 @@
 {
     router->counters.submitted++;
     if (!router->view) {
-        reject_request(router, caller, NULL, 503, "no configuration has been accepted yet",
+        reject_request(router, caller, NULL, 503, "no configuration is in force yet",
                        NO_AGENT_RETRY_AFTER_MS);
         return;
     }
@@ -360,7 +361,7 @@
     }
     if (answer->offset != request->next_offset || version_differs(request, answer)) {
         cancel_attempt(router, request);
-        fail_attempt(router, now, request, "the token stream has a gap or changed its version", 0);
+        fail_attempt(router, now, request, "the stream broke", 0);
         return;
     }
     report_first_answer(router, now, request, answer);
@@ -376,8 +377,7 @@
     bool stream = answer->digest[0] != 0;
     if (stream && (answer->offset != request->next_offset || version_differs(request, answer))) {
         cancel_attempt(router, request);
-        fail_attempt(router, now, request,
-                     "the token stream ended incomplete or with another version", 0);
+        fail_attempt(router, now, request, "the stream ended early", 0);
         return;
     }
     router_record_success(router, request->agent);
--- a/src/weights/piece_fetch.c
+++ b/src/weights/piece_fetch.c
@@ -161,7 +161,7 @@
         metric_add(METRIC_CHUNKS_REJECTED, 1);
         log_event(LOG_LEVEL_WARN, "pieces", "spoilt", "version=%" PRIu64 " source=%08x bytes=%zu",
                   piece_set_version(fetch->set), connection->source->address, message->body.size);
-        on_source_failure(connection, "digest mismatch", now);
+        on_source_failure(connection, "spoilt", now);
         return;
     }
     connection->source->failures = 0;
@@ -188,7 +188,7 @@
     else if (http_message_status(message) == HTTP_STATUS_NOT_READY)
         on_not_ready(connection, now);
     else if (http_message_status(message) != 200)
-        on_source_failure(connection, "unexpected status", now);
+        on_source_failure(connection, "refused", now);
     else
         accept_piece(connection, message, now);
     start_requests(connection->owner, now);
