--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -6,7 +6,7 @@
 #include "base/metrics.h"
 #include "cluster/crash_sync.h"
 #include "cluster/message_count.h"
-#include "cluster/news_push.h"
+#include "cluster/update_push.h"
 #include "cluster/state_sync.h"
 #include "cluster/store_reader.h"
 #include "core/hash.h"
@@ -160,7 +160,7 @@
 void cluster_propagate_changes(struct cluster *cluster)
 {
     update_self(cluster);
-    news_push(cluster);
+    update_push(cluster);
 }
 
 static void announce_to_gateways(struct cluster *cluster)
--- a/src/cluster/news_push.c
+++ b/src/cluster/update_push.c
@@ -1,7 +1,7 @@
-#include "cluster/news_push.h"
+#include "cluster/update_push.h"
 
 #include "cluster/state_message.h"
-#include "core/news_targets.h"
+#include "core/update_targets.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -90,13 +90,13 @@
         return;
     collect_changes(cluster, before, revision, true, &pushed);
     uint32_t count;
-    uint32_t *addresses = news_targets(cluster->membership, revision, &cluster->random, &count);
+    uint32_t *addresses = update_targets(cluster->membership, revision, &cluster->random, &count);
     for (uint32_t i = 0; i < count; i++)
         send_changes(cluster, addresses[i], &pushed);
     free(addresses);
 }
 
-void news_push(struct cluster *cluster)
+void update_push(struct cluster *cluster)
 {
     push_state(cluster);
     push_operator_change(cluster);
--- a/src/core/caller_return.h
+++ b/src/core/client_retry.h
@@ -5,21 +5,21 @@
  * Callers of one route use the same timeout and state how much of it is left. The longest time left
  * stated recently is that of a new caller.
  */
-#ifndef SHUNTRUN_CALLER_RETURN_H
-#define SHUNTRUN_CALLER_RETURN_H
+#ifndef SHUNTRUN_CLIENT_RETRY_H
+#define SHUNTRUN_CLIENT_RETRY_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /** A caller that has less than this share of the longest time left is a returning one. New callers
  *  differ only by their network latency, which is shorter than the shortest retry delay. */
-#define CALLER_RETURN_SHARE 0.93
+#define CLIENT_RETRY_SHARE 0.93
 /** The longest time counts for one to two windows, so that one caller with an unusually long
  * timeout does not distort the comparison for long. */
-#define CALLER_RETURN_WINDOW_US ((uint64_t)10000000)
+#define CLIENT_RETRY_WINDOW_US ((uint64_t)10000000)
 
 /** The longest times left that callers of one route stated. */
-struct caller_times {
+struct client_retry_times {
     uint32_t longest_ms;          /**< in the current window */
     uint32_t previous_longest_ms; /**< in the previous window */
     uint64_t window_end;          /**< microseconds */
@@ -30,18 +30,19 @@
  * \param left_ms time that the caller states to have left; 0: not stated
  * \return whether the caller retries after a refusal
  */
-static inline bool caller_is_returning(struct caller_times *times, uint32_t left_ms, uint64_t now)
+static inline bool client_retry_detect(struct client_retry_times *times, uint32_t left_ms,
+                                       uint64_t now)
 {
     if (now >= times->window_end) {
         times->previous_longest_ms = times->longest_ms;
         times->longest_ms = 0;
-        times->window_end = now + CALLER_RETURN_WINDOW_US;
+        times->window_end = now + CLIENT_RETRY_WINDOW_US;
     }
     if (left_ms > times->longest_ms)
         times->longest_ms = left_ms;
     uint32_t longest = times->longest_ms > times->previous_longest_ms ? times->longest_ms
                                                                       : times->previous_longest_ms;
-    return left_ms && left_ms < CALLER_RETURN_SHARE * longest;
+    return left_ms && left_ms < CLIENT_RETRY_SHARE * longest;
 }
 
 #endif
--- a/src/core/membership_internal.h
+++ b/src/core/membership_internal.h
@@ -1,6 +1,6 @@
 /**
  * State shared by the membership modules: the member table (membership.c), failure detection
- * (membership_probe.c), dissemination and sync (membership_news.c).
+ * (membership_probe.c), dissemination and sync (membership_updates.c).
  */
 #ifndef SHUNTRUN_MEMBERSHIP_INTERNAL_H
 #define SHUNTRUN_MEMBERSHIP_INTERNAL_H
@@ -91,7 +91,7 @@
 void membership_apply(struct membership *membership, const Shuntrun__MemberMessage *message,
                       const Shuntrun__MemberNews *update, uint32_t transmits, uint64_t now);
 
-/* --- membership_news.c ---- */
+/* --- membership_updates.c ---- */
 
 /** \return number of messages after which an update is no longer piggybacked */
 uint32_t membership_transmit_limit(const struct membership *membership);
--- a/src/core/overload.h
+++ b/src/core/overload.h
@@ -20,7 +20,7 @@
 /** Share of new callers refused below which the backends no longer count as full. */
 #define OVERLOAD_EXIT_SHARE 0.1
 /** Time after which overload counts as sustained: longer than the retry delay of a refused caller,
- *  which is 2.0 s at most (core/come_back). */
+ *  which is 2.0 s at most (core/retry_after). */
 #define OVERLOAD_SUSTAINED_US ((uint64_t)2500000)
 
 struct overload {
--- a/src/core/place_wait.h
+++ b/src/core/slot_wait.h
@@ -6,8 +6,8 @@
  * usable backend at all, no completing request helps, and the caller is better served by an
  * immediate refusal.
  */
-#ifndef SHUNTRUN_PLACE_WAIT_H
-#define SHUNTRUN_PLACE_WAIT_H
+#ifndef SHUNTRUN_SLOT_WAIT_H
+#define SHUNTRUN_SLOT_WAIT_H
 
 #include "core/backend_pool.h"
 
@@ -16,8 +16,8 @@
  * \param until time until which the request may wait for a slot
  * \return whether the request is refused now
  */
-static inline bool place_wait_refuses(enum backend_choice_result absence, uint64_t backoff_end,
-                                      uint64_t until, uint64_t now)
+static inline bool slot_wait_refuses(enum backend_choice_result absence, uint64_t backoff_end,
+                                     uint64_t until, uint64_t now)
 {
     if (now >= until)
         return true;
--- a/src/core/news_targets.c
+++ b/src/core/update_targets.c
@@ -1,4 +1,4 @@
-#include "core/news_targets.h"
+#include "core/update_targets.h"
 
 #include "base/memory.h"
 #include "core/hash.h"
@@ -71,8 +71,8 @@
     }
 }
 
-uint32_t *news_targets(struct membership *membership, uint64_t revision,
-                       struct random_stream *random, uint32_t *count)
+uint32_t *update_targets(struct membership *membership, uint64_t revision,
+                         struct random_stream *random, uint32_t *count)
 {
     struct target_list list = {.count = 0};
     list.addresses = memory_zero(membership_count(membership) + 1, sizeof *list.addresses);
--- a/src/core/news_targets.h
+++ b/src/core/update_targets.h
@@ -5,8 +5,8 @@
  * that it is responsible for. Each loader has two responsible gateways by rendezvous weight, of its
  * own region if that has any. Nodes that this misses receive the change with the next probe.
  */
-#ifndef SHUNTRUN_NEWS_TARGETS_H
-#define SHUNTRUN_NEWS_TARGETS_H
+#ifndef SHUNTRUN_UPDATE_TARGETS_H
+#define SHUNTRUN_UPDATE_TARGETS_H
 
 #include "core/membership.h"
 
@@ -16,7 +16,7 @@
  * \param count receives the number of addresses
  * \return their addresses, owned by the caller
  */
-uint32_t *news_targets(struct membership *membership, uint64_t revision,
-                       struct random_stream *random, uint32_t *count);
+uint32_t *update_targets(struct membership *membership, uint64_t revision,
+                         struct random_stream *random, uint32_t *count);
 
 #endif
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -8,8 +8,8 @@
 #include "cluster/cluster.h"
 #include "cluster/process.h"
 #include "core/backend_pool.h"
-#include "core/caller_return.h"
-#include "core/come_back.h"
+#include "core/client_retry.h"
+#include "core/retry_after.h"
 #include "core/crash_lease.h"
 #include "core/event_stream.h"
 #include "core/overload.h"
@@ -35,7 +35,7 @@
 struct service_state {
     char service[BACKEND_NAME_SIZE];
     struct repeat_budget budget;
-    struct come_back come_back;
+    struct retry_after retry_after;
     struct overload overload;
     struct stream_length stream_length;
 };
@@ -43,7 +43,7 @@
 /** Deadlines that the clients of one route have sent. */
 struct route_times {
     uint64_t route; /**< hash of the route's name */
-    struct caller_times times;
+    struct client_retry_times times;
 };
 
 struct edge {
@@ -186,7 +186,7 @@
  * first one's */
 struct service_state *edge_service(struct edge *edge, const char *service);
 /** \return deadlines of the route's clients, created at first use; NULL beyond EDGE_MAX_ROUTES */
-struct caller_times *edge_route_times(struct edge *edge, const char *route);
+struct client_retry_times *edge_route_times(struct edge *edge, const char *route);
 /** \brief Applies a published item that was added, changed or removed. */
 void edge_apply_item(struct edge *edge, const struct state_item *item);
 
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -35,7 +35,7 @@
     return state;
 }
 
-struct caller_times *edge_route_times(struct edge *edge, const char *route)
+struct client_retry_times *edge_route_times(struct edge *edge, const char *route)
 {
     uint64_t name = hash_name(route);
     for (uint32_t i = 0; i < edge->route_count; i++)
--- a/src/edge/exchange.c
+++ b/src/edge/exchange.c
@@ -251,9 +251,9 @@
     exchange->head = *head;
     exchange->service_state = edge_service(edge, exchange->service->name);
     set_times(exchange);
-    struct caller_times *times = edge_route_times(edge, route->name);
+    struct client_retry_times *times = edge_route_times(edge, route->name);
     exchange->is_client_retry =
-        times && caller_is_returning(times, head->deadline_ms, exchange->arrived_at);
+        times && client_retry_detect(times, head->deadline_ms, exchange->arrived_at);
     uv_timer_init(edge->loop, &exchange->timer);
     exchange->timer.data = exchange;
     edge->active++;
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -19,7 +19,7 @@
 #define BACKOFF_RETRY_SPREAD_MS 500
 /** Retry-After while engines are full. The moving share covers about one second of requests; a
  * fifth of them refused means that engines will stay full for a while. */
-static const struct come_back_settings full_retry_settings = {
+static const struct retry_after_settings full_retry_settings = {
     .weight = 0.05, .saturation_share = 0.2, .min_ms = 500, .max_ms = 1200, .jitter_percent = 65};
 
 /* Body of the response to a request that crashes backends. It has no Retry-After, as the request
@@ -220,7 +220,7 @@
 
 void exchange_record_slot_result(struct exchange *exchange, bool found)
 {
-    come_back_count(&exchange->service_state->come_back, &full_retry_settings, !found);
+    retry_after_record(&exchange->service_state->retry_after, &full_retry_settings, !found);
     if (!exchange->is_client_retry)
         overload_record(&exchange->service_state->overload, !found, cluster_now());
 }
@@ -238,8 +238,8 @@
                (uint32_t)random_below(&edge->random, BACKOFF_RETRY_SPREAD_MS);
     if (exchange->no_backend)
         return exchange_no_backend_retry_ms(edge);
-    return come_back_ms(&exchange->service_state->come_back, &full_retry_settings,
-                        random_unit(&edge->random));
+    return retry_after_delay_ms(&exchange->service_state->retry_after, &full_retry_settings,
+                                random_unit(&edge->random));
 }
 
 void exchange_send_local_response(struct edge *edge, struct edge_client *client,
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -2,7 +2,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
-#include "core/place_wait.h"
+#include "core/slot_wait.h"
 #include "edge/crash_watch.h"
 #include "edge/exchange_internal.h"
 #include <inttypes.h>
@@ -261,7 +261,7 @@
                                  uint64_t now)
 {
     uint64_t backoff_end = absence == BACKEND_NONE ? exchange_backoff_end(exchange, now) : 0;
-    if (!place_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
+    if (!slot_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
         exchange->tried_count < BACKEND_MAX_EXCLUDED)
         return false;
     exchange->no_backend = absence == BACKEND_NONE && !exchange->tried_count;
--- a/tests/core/overload_test.c
+++ b/tests/core/overload_test.c
@@ -1,7 +1,7 @@
 /* Detection of sustained overload and of returning callers. */
 #include "testing.h"
 
-#include "core/caller_return.h"
+#include "core/client_retry.h"
 #include "core/overload.h"
 
 #define MS_US ((uint64_t)1000)
@@ -57,25 +57,25 @@
 
 static void caller_with_less_time_left_is_returning(void **state)
 {
-    struct caller_times times = {0};
-    assert_false(caller_is_returning(&times, 6000, 0));
-    assert_false(caller_is_returning(&times, 5990, 1));
-    assert_true(caller_is_returning(&times, 5400, 2));
-    assert_true(caller_is_returning(&times, 900, 3));
-    assert_false(caller_is_returning(&times, 0, 4)); /* time left not stated */
+    struct client_retry_times times = {0};
+    assert_false(client_retry_detect(&times, 6000, 0));
+    assert_false(client_retry_detect(&times, 5990, 1));
+    assert_true(client_retry_detect(&times, 5400, 2));
+    assert_true(client_retry_detect(&times, 900, 3));
+    assert_false(client_retry_detect(&times, 0, 4)); /* time left not stated */
 }
 
 static void long_deadline_of_one_caller_expires(void **state)
 {
-    struct caller_times times = {0};
+    struct client_retry_times times = {0};
     uint64_t now = 0;
-    caller_is_returning(&times, 60000, now);
-    assert_true(caller_is_returning(&times, 6000, now + 1));
+    client_retry_detect(&times, 60000, now);
+    assert_true(client_retry_detect(&times, 6000, now + 1));
     for (int span = 0; span < 2; span++) {
-        now += CALLER_RETURN_WINDOW_US;
-        caller_is_returning(&times, 6000, now);
+        now += CLIENT_RETRY_WINDOW_US;
+        client_retry_detect(&times, 6000, now);
     }
-    assert_false(caller_is_returning(&times, 6000, now + 1));
+    assert_false(client_retry_detect(&times, 6000, now + 1));
 }
 
 int main(void)
--- a/tests/core/news_targets_test.c
+++ b/tests/core/update_targets_test.c
@@ -2,7 +2,7 @@
 #include "testing.h"
 
 #include "core/fleet_members.h"
-#include "core/news_targets.h"
+#include "core/update_targets.h"
 
 #include <stdlib.h>
 
@@ -15,7 +15,7 @@
         uint32_t count;
         struct random_stream random = {.seed = gateway};
         struct membership *membership = fleet_view_of(gateway, NULL);
-        uint32_t *addresses = news_targets(membership, REVISION, &random, &count);
+        uint32_t *addresses = update_targets(membership, REVISION, &random, &count);
         for (uint32_t i = 0; i < count; i++) {
             told[addresses[i] - 1]++;
             if (addresses[i] > FLEET_GATEWAYS)
@@ -35,7 +35,7 @@
     uint32_t count;
     struct random_stream random = {.seed = 1};
     struct membership *membership = fleet_view_of(FLEET_GATEWAYS, NULL);
-    free(news_targets(membership, REVISION, &random, &count));
+    free(update_targets(membership, REVISION, &random, &count));
     assert_int_equal(count, 0);
     membership_destroy(membership);
 }
@@ -50,7 +50,7 @@
         fleet_update_member(membership, i, NULL, MEMBER_DEAD);
     for (uint32_t i = FLEET_MEMBERS; i < FLEET_MEMBERS + 400; i++)
         fleet_update_member(membership, i, NULL, MEMBER_ALIVE);
-    free(news_targets(membership, REVISION, &random, &count));
+    free(update_targets(membership, REVISION, &random, &count));
     assert_int_equal(count, FLEET_LOADERS + 400);
     membership_destroy(membership);
 }
