--- a/src/core/backend_choice.c
+++ b/src/core/backend_choice.c
@@ -291,10 +291,10 @@
     return best ? best : set->ejected;
 }
 
-static bool is_barred(const struct backend_criteria *criteria, uint64_t start)
+static bool is_barred(const struct backend_criteria *criteria, uint64_t incarnation)
 {
     for (uint32_t i = 0; i < criteria->barred_count; i++)
-        if (criteria->barred_starts[i] == start)
+        if (criteria->barred_incarnations[i] == incarnation)
             return true;
     return false;
 }
@@ -306,12 +306,12 @@
 static uint64_t rank_weight(const struct backend_criteria *criteria, const struct backend *backend)
 {
     uint64_t weight = (hash_pair(criteria->rank_key, hash_name(backend->listing.id)) >> 1) | 1;
-    if (!criteria->barred_count && !criteria->leased_start)
+    if (!criteria->barred_count && !criteria->leased_incarnation)
         return weight | RANK_PREFERRED;
-    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
-    if (start == criteria->leased_start)
-        return is_barred(criteria, start) ? 0 : UINT64_MAX;
-    if (!is_barred(criteria, start))
+    uint64_t incarnation = crash_incarnation_key(backend->listing.id, backend->listing.born);
+    if (incarnation == criteria->leased_incarnation)
+        return is_barred(criteria, incarnation) ? 0 : UINT64_MAX;
+    if (!is_barred(criteria, incarnation))
         return weight | RANK_PREFERRED;
     return criteria->isolated ? 0 : weight;
 }
--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -82,7 +82,8 @@
 }
 
 /* An id may be reused by a later start, at another address or for another service. */
-static bool is_same_start(const struct backend *backend, const struct backend_listing *listing)
+static bool is_same_incarnation(const struct backend *backend,
+                                const struct backend_listing *listing)
 {
     return strcmp(backend->listing.address, listing->address) == 0 &&
            strcmp(backend->listing.service, listing->service) == 0 &&
@@ -92,8 +93,8 @@
 /* At an unchanged address the backoff of the earlier start is kept: the list may name a start late,
  * and the answer that asked for the backoff may already have come from the new one. At worst the
  * new start gets its first request a little later. */
-static struct backend *replace_start(struct backend_pool *pool, struct backend *before,
-                                     const struct backend_listing *listing)
+static struct backend *replace_incarnation(struct backend_pool *pool, struct backend *before,
+                                           const struct backend_listing *listing)
 {
     bool same_address = strcmp(before->listing.address, listing->address) == 0;
     uint64_t backoff_until = same_address ? before->backoff_until : 0;
@@ -137,8 +138,8 @@
     struct backend *backend = backend_table_find_id(&pool->table, listing->id);
     if (!backend)
         backend = add(pool, listing);
-    else if (!is_same_start(backend, listing))
-        backend = replace_start(pool, backend, listing);
+    else if (!is_same_incarnation(backend, listing))
+        backend = replace_incarnation(pool, backend, listing);
     update_listing(backend, listing);
     backend->listed_born = listing->born;
     backend->distance = distance;
@@ -146,7 +147,7 @@
     backend->unlisted_until = 0;
     backend->unlisted_in_outage = false;
     backend->leaving_recorded &= backend->listing.draining || backend->leaving;
-    backend_clear_undated_start(pool, backend);
+    backend_clear_undated_incarnation(pool, backend);
     return backend;
 }
 
@@ -211,20 +212,21 @@
 }
 
 /* The listed start counts as current even if the backend's clock was set back before it. */
-static bool is_of_earlier_start(const struct backend *backend, const struct backend_load *load)
+static bool is_of_earlier_incarnation(const struct backend *backend,
+                                      const struct backend_load *load)
 {
     return load->born && load->born < backend->listing.born && load->born != backend->listed_born;
 }
 
-static bool is_of_later_start(const struct backend *backend, const struct backend_load *load)
+static bool is_of_later_incarnation(const struct backend *backend, const struct backend_load *load)
 {
     return backend->listing.born && load->born > backend->listing.born;
 }
 
 /* The list does not name this start yet. State learned from the earlier start is discarded, except
  * the listing: a backend that was unlisted does not become listed by a restart. */
-static struct backend *begin_reported_start(struct backend_pool *pool, struct backend *before,
-                                            uint64_t born)
+static struct backend *begin_reported_incarnation(struct backend_pool *pool, struct backend *before,
+                                                  uint64_t born)
 {
     struct backend_listing listing = before->listing;
     listing.born = born;
@@ -243,11 +245,11 @@
                                     const struct backend_load *load, uint64_t now)
 {
     struct backend *backend = backend_table_find_address(&pool->table, address);
-    if (!backend || is_of_earlier_start(backend, load))
+    if (!backend || is_of_earlier_incarnation(backend, load))
         return NULL;
-    if (is_of_later_start(backend, load))
-        backend = begin_reported_start(pool, backend, load->born);
-    backend_clear_undated_start(pool, backend);
+    if (is_of_later_incarnation(backend, load))
+        backend = begin_reported_incarnation(pool, backend, load->born);
+    backend_clear_undated_incarnation(pool, backend);
     backend->presumed_down_until = 0;
     backend->load = *load;
     backend->load_at = now;
--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -224,10 +224,10 @@
     uint64_t rank_key;
     /** With a rank key: starts (crash_incarnation_key()) at which other requests run in isolation,
      * as they may crash a backend, or have precedence to. */
-    const uint64_t *barred_starts;
+    const uint64_t *barred_incarnations;
     uint32_t barred_count;
-    bool isolated;         /**< barred starts count as full; if false, they are the last choice */
-    uint64_t leased_start; /**< preferred to all others; 0: none */
+    bool isolated; /**< barred starts count as full; if false, they are the last choice */
+    uint64_t leased_incarnation; /**< preferred to all others; 0: none */
 };
 
 enum backend_choice_result {
--- a/src/core/backend_pool_internal.h
+++ b/src/core/backend_pool_internal.h
@@ -36,7 +36,7 @@
 void backend_statement_restore(struct backend_pool *pool, struct backend *backend);
 /** \brief Handle a backend that is listed or reported again. Where entries have no start time, it
  * is a new start if the last one was presumed down, and the statements of that one are cleared. */
-void backend_clear_undated_start(struct backend_pool *pool, struct backend *backend);
+void backend_clear_undated_incarnation(struct backend_pool *pool, struct backend *backend);
 
 /** \return whether the backoff that it asked for is still running */
 static inline bool backend_is_backed_off(const struct backend *backend, uint64_t now)
--- a/src/core/backend_statement.c
+++ b/src/core/backend_statement.c
@@ -73,7 +73,7 @@
            now >= backend->leaving_known_since + pool->settings.min_drain_us;
 }
 
-static bool is_of_start(const struct saved_statement *kept, const struct backend *backend)
+static bool is_of_incarnation(const struct saved_statement *kept, const struct backend *backend)
 {
     return strcmp(kept->id, backend->listing.id) == 0 && kept->born == backend->listing.born;
 }
@@ -81,7 +81,7 @@
 static struct saved_statement *find_saved(struct backend_pool *pool, const struct backend *backend)
 {
     for (uint32_t i = 0; i < SAVED_STATEMENTS; i++)
-        if (is_of_start(&pool->kept[i], backend))
+        if (is_of_incarnation(&pool->kept[i], backend))
             return &pool->kept[i];
     return NULL;
 }
@@ -119,7 +119,7 @@
 }
 
 /* With a start time, a repeated entry is no evidence that the backend is up again. */
-void backend_clear_undated_start(struct backend_pool *pool, struct backend *backend)
+void backend_clear_undated_incarnation(struct backend_pool *pool, struct backend *backend)
 {
     if (backend->listing.born || !backend->presumed_down_until)
         return;
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -45,7 +45,7 @@
     struct edge *edge;
     struct backend *backend;
     bool planned;            /* its end was announced and is no evidence */
-    uint64_t start;          /* crash_incarnation_key() */
+    uint64_t incarnation;    /* crash_incarnation_key() */
     uint64_t began_at;       /* when the last of its requests began; 0: not known */
     uint64_t interrupted_at; /* when the last request was interrupted */
     enum crash_check_state state;
@@ -97,9 +97,9 @@
     log_event(LOG_LEVEL_WARN, "crash", "evidence",
               "identity=%s backend=%s born=%" PRIu64 " start=%08" PRIx32
               " starts=%u weight=%u unexplained=%u proofs=%u isolated=%d outcome=%s",
-              hex, check->backend->listing.id, check->backend->listing.born, (uint32_t)check->start,
-              entry->crash_count, crash_entry_distinct_crashes(entry), finding.unexplained,
-              finding.proofs, finding.isolated,
+              hex, check->backend->listing.id, check->backend->listing.born,
+              (uint32_t)check->incarnation, entry->crash_count, crash_entry_distinct_crashes(entry),
+              finding.unexplained, finding.proofs, finding.isolated,
               crash_verdict_name(crash_table_verdict(table, &run->identity, now)));
 }
 
@@ -108,16 +108,16 @@
 {
     struct crash_table *table = crash_sync_table(check->edge->cluster.crashes);
     uint64_t now = cluster_now();
-    check->start = crash_table_incarnation_of_run(table, check->start, check->began_at);
+    check->incarnation = crash_table_incarnation_of_run(table, check->incarnation, check->began_at);
     for (uint32_t i = 0; i < check->run_count; i++) {
         const struct lost_run *run = &check->runs[i];
-        struct crash_event start = {.incarnation = check->start,
+        struct crash_event crash = {.incarnation = check->incarnation,
                                     .ended_at = check->interrupted_at,
                                     .attempt = run->attempt,
                                     .began_at = run->began_at,
                                     .detected_at = now};
         if (was_running_at_crash(check, run))
-            crash_table_add(table, &run->identity, &start);
+            crash_table_add(table, &run->identity, &crash);
     }
     for (uint32_t i = 0; i < check->run_count; i++)
         if (was_running_at_crash(check, &check->runs[i]))
@@ -224,7 +224,7 @@
     struct crash_check *check = memory_zero(1, sizeof *check);
     check->edge = edge;
     check->backend = backend_retain(backend);
-    check->start = crash_incarnation_key(backend->listing.id, backend->listing.born);
+    check->incarnation = crash_incarnation_key(backend->listing.id, backend->listing.born);
     uv_timer_init(edge->loop, &check->timer);
     check->timer.data = check;
     check->open_handles = 1;
--- a/src/edge/edge_internal.h
+++ b/src/edge/edge_internal.h
@@ -69,8 +69,8 @@
     struct edge_client *clients;
     struct upstream *upstreams;       /**< all connections to backends, newest first */
     struct crash_check *crash_checks; /**< checks of backends that may have crashed */
-    uint64_t
-        barred_starts[CRASH_MAX_LEASED_INCARNATIONS]; /**< barred to the request being dispatched */
+    /** Barred to the request being dispatched. */
+    uint64_t barred_incarnations[CRASH_MAX_LEASED_INCARNATIONS];
     struct exchange *queue; /**< requests that wait for a slot, most urgent first */
     uint32_t active;        /**< requests without a final response */
     uint32_t gateways;      /**< alive now, at least 1 */
--- a/src/edge/exchange_isolation.c
+++ b/src/edge/exchange_isolation.c
@@ -90,14 +90,14 @@
     const struct crash_entry *entry = criteria->rank_key ? exchange_crash_entry(exchange) : NULL;
     if (!entry)
         return;
-    uint64_t *barred = exchange->edge->barred_starts;
+    uint64_t *barred = exchange->edge->barred_incarnations;
     criteria->isolated = is_isolated(exchange);
-    criteria->barred_starts = barred;
+    criteria->barred_incarnations = barred;
     criteria->barred_count =
         crash_table_leased_to_others(crash_table_of(exchange), &entry->identity, now, barred);
     if (!criteria->isolated)
         return;
-    criteria->leased_start =
+    criteria->leased_incarnation =
         crash_lease_is_valid(&entry->lease, now) ? entry->lease.incarnation : 0;
     if (criteria->barred_count)
         record_hold(exchange, "others-run-apart");
@@ -119,9 +119,9 @@
 {
     if (!is_isolated(exchange))
         return 0;
-    uint64_t start = crash_incarnation_key(backend->listing.id, backend->listing.born);
-    struct crash_lease lease = crash_table_acquire_lease(crash_table_of(exchange),
-                                                         exchange_identity(exchange), start, now);
+    uint64_t incarnation = crash_incarnation_key(backend->listing.id, backend->listing.born);
+    struct crash_lease lease = crash_table_acquire_lease(
+        crash_table_of(exchange), exchange_identity(exchange), incarnation, now);
     log_lease(exchange, backend, &lease, now);
     crash_sync_send_updates(exchange->edge->cluster.crashes);
     return crash_lease_is_settled(&lease, now) ? 0 : lease.since + CRASH_LEASE_PROPAGATION_US;
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -212,7 +212,7 @@
     backend_pool_destroy(pool);
 }
 
-static void draining_is_final_for_a_start(void **state)
+static void draining_is_final_for_an_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_unlisting drop = {SECOND_US, false};
@@ -228,7 +228,7 @@
     backend_pool_destroy(pool);
 }
 
-static void draining_of_an_earlier_start_does_not_bind_a_later_one(void **state)
+static void draining_of_an_earlier_incarnation_does_not_bind_a_later_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_load load = {.born = 2000, .version = 1};
@@ -406,7 +406,7 @@
     backend_pool_destroy(pool);
 }
 
-static struct backend_listing start_of(uint64_t born)
+static struct backend_listing incarnation_of(uint64_t born)
 {
     struct backend_listing listing = listing_of(1, 1);
     listing.born = born;
@@ -417,7 +417,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing first = start_of(1000), second = start_of(2000);
+    struct backend_listing first = incarnation_of(1000), second = incarnation_of(2000);
     struct backend *before = backend_pool_list(pool, &first, 0);
     for (int i = 0; i < 4; i++) {
         backend_request_started(before, 1000, SECOND_US);
@@ -433,10 +433,10 @@
     backend_pool_destroy(pool);
 }
 
-static void a_report_of_an_earlier_start_is_ignored(void **state)
+static void a_report_of_an_earlier_incarnation_is_ignored(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_listing listing = start_of(2000);
+    struct backend_listing listing = incarnation_of(2000);
     struct backend_load late = {.version = 1, .born = 1000};
     struct backend_load present = {.born = 2000};
     backend_pool_list(pool, &listing, 0);
@@ -445,11 +445,11 @@
     backend_pool_destroy(pool);
 }
 
-static void a_report_of_a_later_start_replaces_the_listed_one(void **state)
+static void a_report_of_a_later_incarnation_replaces_the_listed_one(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing listing = start_of(1000);
+    struct backend_listing listing = incarnation_of(1000);
     struct backend *before = backend_pool_list(pool, &listing, 0);
     struct backend_load empty = {.born = 2000}, late = {.version = 1, .born = 1000};
     backend_request_started(before, 1000, SECOND_US);
@@ -468,7 +468,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing listing = start_of(1000);
+    struct backend_listing listing = incarnation_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
@@ -484,7 +484,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing listing = start_of(1000);
+    struct backend_listing listing = incarnation_of(1000);
     struct backend_load load = {.version = 1, .born = 1000}, later = {.version = 1, .born = 2000};
     struct backend *backend = backend_pool_list(pool, &listing, 0);
     report(pool, 1, load, 1);
@@ -543,10 +543,10 @@
 }
 
 /* The backend's clock was set back between two starts: the last entry of the list decides. */
-static void a_listed_start_is_current_even_if_its_clock_was_set_back(void **state)
+static void a_listed_incarnation_is_current_even_if_its_clock_was_set_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
-    struct backend_listing first = start_of(2000), second = start_of(1500);
+    struct backend_listing first = incarnation_of(2000), second = incarnation_of(1500);
     struct backend_load late = {.version = 1, .born = 2000}, present = {.version = 1, .born = 1500};
     backend_pool_list(pool, &first, 0);
     backend_pool_list(pool, &second, 0);
@@ -560,7 +560,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing dated = start_of(1000);
+    struct backend_listing dated = incarnation_of(1000);
     struct backend *undated = add(pool, 2, 1, 0);
     /* No entry has a start time yet. */
     assert_ptr_equal(choose(pool, &criteria, SECOND_US), undated);
@@ -581,7 +581,7 @@
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_criteria criteria = criteria_of();
-    struct backend_listing dated = start_of(1000);
+    struct backend_listing dated = incarnation_of(1000);
     for (int number = 5; number <= 7; number++) {
         struct backend_listing other = listing_of(number, 1);
         other.born = 1000;
@@ -826,8 +826,8 @@
         cmocka_unit_test(an_entry_lost_before_the_first_store_answer_gets_the_relist_grace_period),
         cmocka_unit_test(heard_after_rules_out_engines_that_are_silent_since),
         cmocka_unit_test(an_entry_with_a_lower_sequence_is_ignored),
-        cmocka_unit_test(draining_is_final_for_a_start),
-        cmocka_unit_test(draining_of_an_earlier_start_does_not_bind_a_later_one),
+        cmocka_unit_test(draining_is_final_for_an_incarnation),
+        cmocka_unit_test(draining_of_an_earlier_incarnation_does_not_bind_a_later_one),
         cmocka_unit_test(without_start_times_a_lower_sequence_is_applied),
         cmocka_unit_test(without_start_times_a_later_entry_revokes_draining),
         cmocka_unit_test(a_new_entry_replaces_the_backend_at_its_address),
@@ -840,13 +840,13 @@
         cmocka_unit_test(a_long_request_goes_to_a_switching_engine_if_there_is_no_other),
         cmocka_unit_test(an_excluded_engine_of_the_required_version_may_serve_again),
         cmocka_unit_test(a_restart_under_the_same_id_resets_the_health),
-        cmocka_unit_test(a_report_of_an_earlier_start_is_ignored),
-        cmocka_unit_test(a_report_of_a_later_start_replaces_the_listed_one),
+        cmocka_unit_test(a_report_of_an_earlier_incarnation_is_ignored),
+        cmocka_unit_test(a_report_of_a_later_incarnation_replaces_the_listed_one),
         cmocka_unit_test(a_report_does_not_list_an_unlisted_backend_again),
         cmocka_unit_test(a_backend_presumed_down_gets_no_requests_until_it_reports),
         cmocka_unit_test(an_empty_engine_may_serve_the_version_it_is_about_to_load),
         cmocka_unit_test(a_rank_key_selects_the_same_backend_in_all_gateways),
-        cmocka_unit_test(a_listed_start_is_current_even_if_its_clock_was_set_back),
+        cmocka_unit_test(a_listed_incarnation_is_current_even_if_its_clock_was_set_back),
         cmocka_unit_test(an_entry_without_start_time_is_not_trusted_among_dated_ones),
         cmocka_unit_test(an_undated_entry_of_a_small_service_is_judged_by_all_entries),
         cmocka_unit_test(pending_prompt_tokens_of_an_engine_are_bounded),
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -110,7 +110,7 @@
     }
 }
 
-static void statements_do_not_bind_the_next_start(void **state)
+static void statements_do_not_bind_the_next_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     backend_pool_apply_statement(pool, list(pool, 1, 7), &leaving, 2);
@@ -124,7 +124,7 @@
     backend_pool_destroy(pool);
 }
 
-static void without_start_times_a_backend_shown_after_an_end_is_a_new_start(void **state)
+static void without_start_times_a_backend_shown_after_an_end_is_a_new_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 0);
@@ -146,7 +146,7 @@
 
 /* Guards against taking a repeated entry for evidence that the backend is up: 40 requests went to
  * an address that refused them. */
-static void a_repeated_entry_does_not_revive_its_start(void **state)
+static void a_repeated_entry_does_not_revive_its_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -238,7 +238,7 @@
  * under its id and asked for a backoff in an answer. The list named the new start 1.2 s later, so
  * the backoff was attributed to the earlier start, and 11 requests of one gateway reached the
  * backend before the backoff was over. */
-static void a_backoff_holds_for_a_start_that_is_listed_late(void **state)
+static void a_backoff_holds_for_an_incarnation_that_is_listed_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement three = backs_off(3 * SECOND_US);
@@ -271,7 +271,7 @@
     uint64_t now;
 };
 
-static void begin_start(struct scenario *scenario, int number)
+static void begin_incarnation(struct scenario *scenario, int number)
 {
     struct stated *stated = &scenario->stated[number];
     *stated = (struct stated){.born = stated->born + 1};
@@ -318,7 +318,7 @@
     struct backend *backend = backend_pool_find_address(scenario->pool, address);
     switch (random_below(&scenario->random, 11)) {
     case 0:
-        begin_start(scenario, number);
+        begin_incarnation(scenario, number);
         break;
     case 1:
     case 2: /* an entry of the current start, or an outdated one */
@@ -440,15 +440,15 @@
         cmocka_unit_test(a_leaving_backend_gets_no_requests_even_if_listed_again),
         cmocka_unit_test(leaving_survives_a_loss_of_the_list),
         cmocka_unit_test(statements_of_a_removed_backend_apply_when_it_is_listed_again),
-        cmocka_unit_test(statements_do_not_bind_the_next_start),
-        cmocka_unit_test(without_start_times_a_backend_shown_after_an_end_is_a_new_start),
-        cmocka_unit_test(a_repeated_entry_does_not_revive_its_start),
+        cmocka_unit_test(statements_do_not_bind_the_next_incarnation),
+        cmocka_unit_test(without_start_times_a_backend_shown_after_an_end_is_a_new_incarnation),
+        cmocka_unit_test(a_repeated_entry_does_not_revive_its_incarnation),
         cmocka_unit_test(leaving_in_a_load_report_counts),
         cmocka_unit_test(a_backoff_lasts_as_long_as_requested),
         cmocka_unit_test(a_backoff_is_limited_to_an_hour),
         cmocka_unit_test(after_a_backoff_one_probe_goes_first),
         cmocka_unit_test(other_backends_are_used_during_a_backoff),
-        cmocka_unit_test(a_backoff_holds_for_a_start_that_is_listed_late),
+        cmocka_unit_test(a_backoff_holds_for_an_incarnation_that_is_listed_late),
         cmocka_unit_test(no_order_of_events_violates_a_statement),
         cmocka_unit_test(an_exit_is_planned_after_the_minimum_drain_time),
         cmocka_unit_test(an_exit_is_planned_if_the_start_of_leaving_is_not_known),
