--- a/src/core/backend_pool.c
+++ b/src/core/backend_pool.c
@@ -81,7 +81,7 @@
     return backend;
 }
 
-/* An id may be reused by a later start, at another address or for another service. */
+/* An id may be reused by a later incarnation, at another address or for another service. */
 static bool is_same_incarnation(const struct backend *backend,
                                 const struct backend_listing *listing)
 {
@@ -90,9 +90,9 @@
            backend->listing.born == listing->born;
 }
 
-/* At an unchanged address the backoff of the earlier start is kept: the list may name a start late,
- * and the answer that asked for the backoff may already have come from the new one. At worst the
- * new start gets its first request a little later. */
+/* At an unchanged address the backoff of the earlier incarnation is kept: the list may name an
+ * incarnation late, and the answer that asked for the backoff may already have come from the new
+ * one. At worst the new incarnation gets its first request a little later. */
 static struct backend *replace_incarnation(struct backend_pool *pool, struct backend *before,
                                            const struct backend_listing *listing)
 {
@@ -105,14 +105,15 @@
     return backend;
 }
 
-/* Writes may be delayed beyond later writes of the same start. */
+/* Writes may be delayed beyond later writes of the same incarnation. */
 static bool is_stale_entry(const struct backend *backend, const struct backend_listing *listing)
 {
     return listing->sequence < backend->listing.sequence;
 }
 
-/* Draining is final for a start. Without start times, an entry that is no older than the draining
- * one revokes it, and an entry after the backend was presumed down belongs to the next start. */
+/* Draining is final for an incarnation. Without start times, an entry that is no older than the
+ * draining one revokes it, and an entry after the backend was presumed down belongs to the next
+ * incarnation. */
 static bool stays_leaving(const struct backend *backend, const struct backend_listing *listing)
 {
     if (!backend->listing.draining)
@@ -211,7 +212,7 @@
     backend->presumed_down_until = now + BACKEND_DOWN_US;
 }
 
-/* The listed start counts as current even if the backend's clock was set back before it. */
+/* The listed incarnation counts as current even if the backend's clock was set back before it. */
 static bool is_of_earlier_incarnation(const struct backend *backend,
                                       const struct backend_load *load)
 {
@@ -223,8 +224,8 @@
     return backend->listing.born && load->born > backend->listing.born;
 }
 
-/* The list does not name this start yet. State learned from the earlier start is discarded, except
- * the listing: a backend that was unlisted does not become listed by a restart. */
+/* The list does not name this incarnation yet. State learned from the earlier one is discarded,
+ * except the listing: a backend that was unlisted does not become listed by a restart. */
 static struct backend *begin_reported_incarnation(struct backend_pool *pool, struct backend *before,
                                                   uint64_t born)
 {
--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -2,8 +2,8 @@
  * The backends that a gateway may send requests to directly: what the platform's backend list says,
  * the load that their machines report, and their health as this gateway's own requests show it.
  *
- * A backend id outlives one process: each run of the process is called a start of the backend, and
- * is told apart by its start time (`born`) where the list gives one.
+ * A backend id outlives one process: each run of the process is called an incarnation of the
+ * backend, and is told apart by its start time (`born`) where the list gives one.
  *
  * This module does no I/O and reads no clock. Times are microseconds of a monotonic clock.
  */
@@ -21,9 +21,9 @@
 
 /** Entry of the platform's backend list. */
 struct backend_listing {
-    char id[BACKEND_ID_SIZE]; /**< a later start may use the same id */
-    uint64_t born; /**< start time by the backend's own clock, 0: not given; tells starts under one
-                        id apart, so only equality and order count */
+    char id[BACKEND_ID_SIZE]; /**< a later incarnation may use the same id */
+    uint64_t born; /**< start time by the backend's own clock, 0: not given; tells incarnations
+                        under one id apart, so only equality and order count */
     char service[BACKEND_NAME_SIZE];
     char address[BACKEND_ADDRESS_SIZE]; /**< "IP:PORT" */
     char zone[BACKEND_NAME_SIZE];
@@ -31,7 +31,7 @@
     bool draining;     /**< the backend is leaving and accepts no new requests */
     bool has_weights;  /**< the entry names a model */
     uint64_t version;  /**< of the weights; 0: none */
-    uint64_t sequence; /**< increases with each entry that one start writes; 0: not given */
+    uint64_t sequence; /**< increases with each entry of one incarnation; 0: not given */
 };
 
 /** Load report from the machine of a model engine. */
@@ -40,7 +40,7 @@
     uint32_t waiting;
     uint64_t memory_used; /**< in units of `memory_total` */
     uint64_t memory_total;
-    uint64_t born;          /**< start time of the reporting start; 0: not given */
+    uint64_t born;          /**< start time of the reporting incarnation; 0: not given */
     uint64_t version;       /**< of the weights; 0: none */
     bool loading;           /**< accepts no requests until other weights are loaded */
     bool staged;            /**< a newer version is completely downloaded */
@@ -64,7 +64,7 @@
 };
 
 struct backend {
-    struct backend_listing listing; /**< `born` is that of the latest known start */
+    struct backend_listing listing; /**< `born` is that of the latest known incarnation */
     uint64_t listed_born;           /**< `born` as the list gives it */
     uint32_t references;            /**< held by the pool, requests and connections */
     bool listed;                    /**< false once the pool has removed it */
@@ -163,24 +163,30 @@
 /** Longer backoffs are cut to an hour; the backend can ask again then. */
 #define BACKEND_MAX_BACKOFF_US ((uint64_t)3600000000)
 /**
- * \brief Apply what a backend states about itself. Statements hold for its start, and no list entry
- * revokes them: `leaving` holds until another start is known, a backoff for as long as requested,
- * also when the list names another start in the meantime. After a backoff the backend gets one
- * request at a time until one works. \return what has changed
+ * \brief Apply what a backend states about itself. Statements hold for its incarnation, and
+ * no list entry revokes them: `leaving` holds until another incarnation is known, a backoff for as
+ * long as requested, also when the list names another incarnation in the meantime. After a backoff
+ * the backend gets one request at a time until one works.
+ * \return what has changed
  */
 struct backend_statement_effect
 backend_pool_apply_statement(struct backend_pool *pool, struct backend *backend,
                              const struct backend_statement *statement, uint64_t now);
-/** \brief Record that this start is leaving; the first call counts. \param since 0: not known */
+/**
+ * \brief Record that this incarnation is leaving; the first call counts.
+ * \param since 0: not known
+ */
 void backend_record_leaving(struct backend *backend, uint64_t since);
-/** \return whether an exit of this start now would be one that it, or the list, had announced */
+/** \return whether an exit of this incarnation now would have been announced by it or by the list
+ */
 bool backend_exit_is_planned(const struct backend_pool *pool, const struct backend *backend,
                              uint64_t now);
-/** \brief Presume this start down: it exited unannounced. The list may name another start since. */
+/** \brief Presume this incarnation down: it exited unannounced. The list may already name another.
+ */
 void backend_pool_mark_down(struct backend_pool *pool, struct backend *backend, uint64_t now);
 /**
- * \brief Apply a load report. A report of a later start than the listed one replaces the backend by
- * that start; one of an earlier start is outdated and ignored.
+ * \brief Apply a load report. A report of a later incarnation than the listed one replaces the
+ * backend by that incarnation; one of an earlier incarnation is outdated and ignored.
  * \return the backend, or NULL when none has this address or the report is outdated
  */
 struct backend *backend_pool_report(struct backend_pool *pool, const char *address,
@@ -222,11 +228,11 @@
     /** Not 0: rendezvous hashing with this key selects among the backends with room, so that
      *  identical requests meet at one backend and others rarely do. */
     uint64_t rank_key;
-    /** With a rank key: starts (crash_incarnation_key()) at which other requests run in isolation,
-     * as they may crash a backend, or have precedence to. */
+    /** With a rank key: incarnations (crash_incarnation_key()) on which other requests, which may
+     * crash a backend, run in isolation or have precedence to do so. */
     const uint64_t *barred_incarnations;
     uint32_t barred_count;
-    bool isolated; /**< barred starts count as full; if false, they are the last choice */
+    bool isolated; /**< barred incarnations count as full; if false, they are the last choice */
     uint64_t leased_incarnation; /**< preferred to all others; 0: none */
 };
 
--- a/src/core/backend_pool_internal.h
+++ b/src/core/backend_pool_internal.h
@@ -9,11 +9,11 @@
 
 #include "core/backend_table.h"
 
-/** Number of starts whose statements are saved after their removal. A list that is lost in an
- * outage names its backends again afterwards; a tenth of 1,000 may leave in the meantime. */
+/** Number of incarnations whose statements are saved after their removal. A list that is lost in
+ * an outage names its backends again afterwards; a tenth of 1,000 may leave in the meantime. */
 #define SAVED_STATEMENTS 128
 
-/** What a start that is no longer listed stated about itself. */
+/** What an incarnation that is no longer listed stated about itself. */
 struct saved_statement {
     char id[BACKEND_ID_SIZE];
     uint64_t born;
@@ -32,10 +32,11 @@
 
 /** \brief Save the statements of a backend that is removed. */
 void backend_statement_save(struct backend_pool *pool, const struct backend *backend);
-/** \brief Restore what this start stated before it was removed. */
+/** \brief Restore what this incarnation stated before it was removed. */
 void backend_statement_restore(struct backend_pool *pool, struct backend *backend);
 /** \brief Handle a backend that is listed or reported again. Where entries have no start time, it
- * is a new start if the last one was presumed down, and the statements of that one are cleared. */
+ * is a new incarnation if the last one was presumed down, and the statements of that one are
+ * cleared. */
 void backend_clear_undated_incarnation(struct backend_pool *pool, struct backend *backend);
 
 /** \return whether the backoff that it asked for is still running */
--- a/src/core/backend_statement.c
+++ b/src/core/backend_statement.c
@@ -1,5 +1,5 @@
-/* Statements of backends about themselves, in answers and list entries. They hold for the start
- * that made them. */
+/* Statements of backends about themselves, in answers and list entries. They hold for the
+ * incarnation that made them. */
 #include "core/backend_pool_internal.h"
 
 #include <string.h>
@@ -22,7 +22,7 @@
     backend->probing = false;
 }
 
-/* The same start may have been listed again since its removal. */
+/* The same incarnation may have been listed again since its removal. */
 static void update_relisted(struct backend_pool *pool, const struct backend *dropped)
 {
     struct backend *listed = backend_table_find_id(&pool->table, dropped->listing.id);
@@ -86,7 +86,7 @@
     return NULL;
 }
 
-/* A draining entry without a start time may be of another start under the same id. */
+/* A draining entry without a start time may be of another incarnation under the same id. */
 static bool is_leaving_permanently(const struct backend *backend)
 {
     return backend->leaving || (backend->listing.draining && backend->listing.born);
--- a/src/core/slot_wait.h
+++ b/src/core/slot_wait.h
@@ -3,7 +3,7 @@
  *
  * It waits only while a slot can become free: a usable but full backend frees one with each request
  * that completes, and a backend that asked for a backoff may be tried again afterwards. With no
- * usable backend at all, no completing request helps, and the caller is better served by an
+ * usable backend at all, no completing request helps, and the client is better served by an
  * immediate refusal.
  */
 #ifndef SHUNTRUN_SLOT_WAIT_H
--- a/src/edge/backend_feedback.h
+++ b/src/edge/backend_feedback.h
@@ -12,7 +12,8 @@
                                     const struct response_head *head);
 /**
  * \brief Applies a load report that the machine of a model engine sent.
- * \return false if no backend is listed at `address`, or if the report is from an earlier start
+ * \return false if no backend is listed at `address`, or if the report is from an earlier
+ * incarnation
  */
 bool backend_feedback_from_load(struct edge *edge, const char *address,
                                 const struct backend_load *load);
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -23,14 +23,14 @@
 #define MIN_RUN_US ((uint64_t)20000)
 /** A probe connection that is neither accepted nor refused by then is inconclusive. */
 #define PROBE_CONNECT_TIMEOUT_MS 700
-/** Time within which a later start at the address proves that the previous one ended. */
+/** Time within which a later incarnation at the address proves that the previous one ended. */
 #define RESTART_WINDOW_US ((uint64_t)5000000)
 
 enum crash_check_state {
     CHECK_COLLECTING,       /* waiting for further connections to break */
     CHECK_CONNECTIONS_OPEN, /* some connections are still up and may break yet */
     CHECK_CONNECTING,       /* probing whether a new connection is refused */
-    CHECK_AWAITING_RESTART, /* waiting for a later start at the address */
+    CHECK_AWAITING_RESTART, /* waiting for a later incarnation at the address */
 };
 
 struct lost_run {
--- a/src/edge/crash_watch.h
+++ b/src/edge/crash_watch.h
@@ -4,10 +4,11 @@
  *
  * One broken connection proves nothing: connections are reset in transit, and an engine may abort a
  * response and keep running. A backend counts as crashed when none of this gateway's connections to
- * it is left and a new one is refused, or when a later start of a backend appears at its address
- * soon after. A backend that announced that it is leaving, or that was removed from the list while
- * the store was healthy, keeps serving for a time that the platform guarantees. An end after that
- * time is planned and is no evidence against a request; an end before it counts as a crash.
+ * it is left and a new one is refused, or when a later incarnation of a backend appears at its
+ * address soon after. A backend that announced that it is leaving, or that was removed from the
+ * list while the store was healthy, keeps serving for a time that the platform guarantees. An end
+ * after that time is planned and is no evidence against a request; an end before it counts as a
+ * crash.
  */
 #ifndef SHUNTRUN_CRASH_WATCH_H
 #define SHUNTRUN_CRASH_WATCH_H
@@ -22,8 +23,8 @@
                                  uint64_t sent_at);
 /** \return whether a check is running that will show soon if the backend has crashed */
 bool crash_watch_is_checking(const struct edge *edge, const struct backend *backend);
-/** \brief Checks the addresses of suspected backends for later starts, and ends checks that timed
- * out. */
+/** \brief Checks the addresses of suspected backends for later incarnations, and ends checks
+ * that timed out. */
 void crash_watch_tick(struct edge *edge, uint64_t now);
 
 #endif
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -258,7 +258,7 @@
     apply_entry(pool, 0, 8, true);
     apply_entry(pool, 0, 7, false);
     assert_false(is_eligible(pool));
-    /* After the backend was presumed down, the next entry is of a new start. */
+    /* After the backend was presumed down, the next entry is of a new incarnation. */
     backend_pool_mark_down(pool, backend_pool_at(pool, 0), SECOND_US);
     apply_entry(pool, 0, 1, false);
     assert_true(is_eligible(pool));
@@ -462,8 +462,8 @@
     backend_pool_destroy(pool);
 }
 
-/* A start that only its loader knows of, after the list dropped the backend, gets no new listing.
- */
+/* An incarnation that only its loader knows of, after the list dropped the backend, gets no new
+ * listing. */
 static void a_report_does_not_list_an_unlisted_backend_again(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -542,7 +542,7 @@
         backend_pool_destroy(pools[i]);
 }
 
-/* The backend's clock was set back between two starts: the last entry of the list decides. */
+/* The backend's clock was set back between two incarnations: the last entry of the list decides. */
 static void a_listed_incarnation_is_current_even_if_its_clock_was_set_back(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -1,4 +1,4 @@
-/* Statements of backends about themselves hold for their start, whatever the list says. */
+/* Statements of backends about themselves hold for their incarnation, whatever the list says. */
 #include "testing.h"
 
 #include "core/backend_pool.h"
@@ -116,7 +116,7 @@
     backend_pool_apply_statement(pool, list(pool, 1, 7), &leaving, 2);
     struct backend *next = list(pool, 1, 8);
     assert_ptr_equal(choose(pool, 3), next);
-    /* A load report may name a later start before the list does. */
+    /* A load report may name a later incarnation before the list does. */
     backend_pool_apply_statement(pool, next, &leaving, 4);
     struct backend_load load = {.version = 1, .born = 9};
     assert_non_null(backend_pool_report(pool, "10.0.0.1:80", &load, 5));
@@ -235,9 +235,9 @@
 }
 
 /* Guards against a backoff that is lost at a restart. During a store outage a backend restarted
- * under its id and asked for a backoff in an answer. The list named the new start 1.2 s later, so
- * the backoff was attributed to the earlier start, and 11 requests of one gateway reached the
- * backend before the backoff was over. */
+ * under its id and asked for a backoff in an answer. The list named the new incarnation 1.2 s
+ * later, so the backoff was attributed to the earlier incarnation, and 11 requests of one gateway
+ * reached the backend before the backoff was over. */
 static void a_backoff_holds_for_an_incarnation_that_is_listed_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
@@ -256,7 +256,7 @@
 #define FUZZ_STEPS 60
 #define FUZZ_BACKENDS 3
 
-/* What the current start of a backend has stated, tracked outside the pool. */
+/* What the current incarnation of a backend has stated, tracked outside the pool. */
 struct stated {
     uint64_t born;
     bool leaving;
@@ -294,7 +294,7 @@
     struct backend *backend = scenario->connected[number];
     struct stated *stated = &scenario->stated[number];
     if (!backend || backend->listing.born != stated->born)
-        return; /* connections end with their start */
+        return; /* connections end with their incarnation */
     struct backend_statement statement = {.works = random_below(&scenario->random, 2)};
     statement.leaving = stated->leaving || random_below(&scenario->random, 6) == 0;
     if (random_below(&scenario->random, 3) == 0)
@@ -321,7 +321,7 @@
         begin_incarnation(scenario, number);
         break;
     case 1:
-    case 2: /* an entry of the current start, or an outdated one */
+    case 2: /* an entry of the current incarnation, or an outdated one */
         list(scenario->pool, number + 1,
              scenario->stated[number].born - random_below(&scenario->random, 2));
         break;
@@ -347,8 +347,8 @@
     }
 }
 
-/* Neither the choice nor the check before sending lets a request go to a start that is leaving or
- * backed off. */
+/* Neither the choice nor the check before sending lets a request go to an incarnation that is
+ * leaving or backed off. */
 static void check_choices(struct scenario *scenario)
 {
     for (int i = 0; i < 4; i++) {
@@ -357,7 +357,7 @@
             return;
         const struct stated *stated = &scenario->stated[atoi(chosen->listing.id + 2) - 1];
         if (chosen->listing.born != stated->born)
-            continue; /* this start has already ended */
+            continue; /* this incarnation has already ended */
         assert_false(stated->leaving);
         assert_true(scenario->now >= stated->backoff_until);
         assert_true(may_begin(scenario->pool, chosen, scenario->now));
@@ -396,7 +396,7 @@
     backend_record_leaving(backend, 101 * SECOND_US); /* the first record counts */
     assert_false(backend_exit_is_planned(pool, backend, 102 * SECOND_US - 1));
     assert_true(backend_exit_is_planned(pool, backend, 102 * SECOND_US));
-    backend = list(pool, 1, 6); /* the next start has not announced anything */
+    backend = list(pool, 1, 6); /* the next incarnation has not announced anything */
     assert_false(backend_exit_is_planned(pool, backend, 110 * SECOND_US));
     backend_pool_destroy(pool);
 }
