--- a/src/core/backend_pool.h
+++ b/src/core/backend_pool.h
@@ -143,9 +143,9 @@
 void backend_pool_expire(struct backend_pool *pool, bool sound, uint64_t now);
 /** \brief Remove a backend: another process has its address. */
 void backend_pool_remove(struct backend_pool *pool, struct backend *backend);
-/** A backend that is presumed down gets no requests for this long unless it shows up again: after a
- *  crash it is back within seconds, and a live one that was presumed down loses no more than this.
- */
+/** A backend that is presumed down gets no requests for this long unless there is evidence
+ *  that it is up again: after a crash it is back within seconds, and a live one that was presumed
+ *  down loses no more than this. */
 #define BACKEND_DOWN_US ((uint64_t)3000000)
 /** What a backend states about itself in an answer. */
 struct backend_statement {
@@ -177,12 +177,10 @@
  * \param since 0: not known
  */
 void backend_record_leaving(struct backend *backend, uint64_t since);
-/** \return whether an exit of this incarnation now would have been announced by it or by the list
- */
+/** \return whether an exit of this incarnation now would be one that it or the list announced */
 bool backend_exit_is_planned(const struct backend_pool *pool, const struct backend *backend,
                              uint64_t now);
-/** \brief Presume this incarnation down: it exited unannounced. The list may already name another.
- */
+/** \brief Presume this incarnation down: it exited unannounced. The list may name a later one. */
 void backend_pool_mark_down(struct backend_pool *pool, struct backend *backend, uint64_t now);
 /**
  * \brief Apply a load report. A report of a later incarnation than the listed one replaces the
@@ -218,9 +216,9 @@
     uint32_t excluded_count;
     uint32_t gateways; /**< that send to the same backends */
     bool any_load;     /**< full backends are accepted, too */
-    /** Expected duration of the request; 0: not known. An engine that stops for other weights
-     *  before gets it only if there is no other: its other slots would idle until the request ends.
-     */
+    /** Expected duration of the request; 0: not known. An engine that stops before its end to load
+     *  other weights gets it only if there is no other engine: its other slots would idle until the
+     *  request ends. */
     uint64_t expected_us;
     /** Not 0: an engine with no report or answer after this time is ruled out, as it is as silent
      *  as the one that the request would leave. */
--- a/src/core/backend_table.c
+++ b/src/core/backend_table.c
@@ -73,8 +73,7 @@
         index_backend(table, table->items[i]);
 }
 
-/* --- groups --------------------------------------------------------------------------------------
- */
+/* --- groups ----------------------------------------------------------------------------------- */
 
 struct backend_group *backend_table_group(const struct backend_table *table, const char *service)
 {
@@ -120,8 +119,7 @@
         swap_in_group(group, backend->group_index, --group->reported);
 }
 
-/* --- the table -----------------------------------------------------------------------------------
- */
+/* --- the table -------------------------------------------------------------------------------- */
 
 void backend_table_clear(struct backend_table *table)
 {
--- a/src/core/crash_table.c
+++ b/src/core/crash_table.c
@@ -53,8 +53,7 @@
     return names[verdict];
 }
 
-/* --- one entry -----------------------------------------------------------------------------------
- */
+/* --- one entry -------------------------------------------------------------------------------- */
 
 static uint64_t latest_crash_at(const struct crash_entry *entry)
 {
@@ -180,8 +179,7 @@
     return changed;
 }
 
-/* --- the table -----------------------------------------------------------------------------------
- */
+/* --- the table -------------------------------------------------------------------------------- */
 
 static uint64_t prefix_of(const struct request_identity *identity)
 {
@@ -316,8 +314,7 @@
     return changed;
 }
 
-/* --- verdicts ------------------------------------------------------------------------------------
- */
+/* --- verdicts --------------------------------------------------------------------------------- */
 
 /* \return the finding for a request, or NULL when it has no entry */
 static const struct crash_finding *
@@ -364,8 +361,7 @@
     return crash_verdict_held_until(finding, latest_crash_at(lookup(table, identity)), now);
 }
 
-/* --- leases --------------------------------------------------------------------------------------
- */
+/* --- leases ----------------------------------------------------------------------------------- */
 
 /* Breaks ties by identity, so that all nodes that hold the same entries agree. */
 static bool is_more_suspect(const struct crash_table *table, const struct crash_entry *entry,
--- a/src/core/crash_verdict.c
+++ b/src/core/crash_verdict.c
@@ -26,7 +26,7 @@
     uint64_t now;
     struct crash_finding *findings;
     struct participants participants;
-    bool (*explained)[CRASH_MAX_EVENTS]; /* by entry: crashes where another, blocked one was */
+    bool (*explained)[CRASH_MAX_EVENTS]; /* by entry: explained by another, blocked request */
     bool *chosen;                        /* by entry: its verdict settles in this round */
 };
 
@@ -70,8 +70,7 @@
     return last;
 }
 
-/* --- explained crashes ---------------------------------------------------------------------------
- */
+/* --- explained crashes ------------------------------------------------------------------------ */
 
 static void explain_group(struct evaluation *evaluation, uint32_t first, uint32_t last)
 {
@@ -112,8 +111,7 @@
     }
 }
 
-/* --- proofs --------------------------------------------------------------------------------------
- */
+/* --- proofs ----------------------------------------------------------------------------------- */
 
 /* \return unexplained crashes of a request up to a time; simultaneous ones count once */
 static uint32_t unexplained_until(const struct evaluation *evaluation, uint32_t entry,
@@ -170,8 +168,7 @@
     }
 }
 
-/* --- verdicts ------------------------------------------------------------------------------------
- */
+/* --- verdicts --------------------------------------------------------------------------------- */
 
 static bool has_incarnation(const struct crash_entry *entry, uint64_t incarnation)
 {
--- a/src/core/membership_updates.c
+++ b/src/core/membership_updates.c
@@ -135,8 +135,7 @@
     membership_send_changes(membership, address, NULL);
 }
 
-/* --- sync ----------------------------------------------------------------------------------------
- */
+/* --- sync ------------------------------------------------------------------------------------- */
 
 /* Members of the requester's region have separate buckets, as it must know these first. */
 static uint32_t bucket_of(const struct member_state *member, const char *region)
--- a/src/edge/backend_feedback.c
+++ b/src/edge/backend_feedback.c
@@ -6,7 +6,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Another backend instance uses the address now; its headers say nothing about `backend`. */
+/* A backend with another id uses the address now; its headers say nothing about `backend`. */
 static bool is_from_other_instance(const struct backend *backend, const struct response_head *head)
 {
     return head->instance[0] && strcmp(head->instance, backend->listing.id) != 0;
--- a/src/edge/crash_watch.c
+++ b/src/edge/crash_watch.c
@@ -18,8 +18,8 @@
 /** A request interrupted earlier than this before the last one was not running when the backend
  * crashed. */
 #define SAME_CRASH_WINDOW_US ((uint64_t)300000)
-/** A request interrupted sooner after its send may have met a connection whose peer was gone.
- */
+/** A request interrupted within this time after its send may have been sent on a connection whose
+ * peer was already gone. */
 #define MIN_RUN_US ((uint64_t)20000)
 /** A probe connection that is neither accepted nor refused by then is inconclusive. */
 #define PROBE_CONNECT_TIMEOUT_MS 700
--- a/src/edge/edge.c
+++ b/src/edge/edge.c
@@ -73,8 +73,8 @@
         service_reply(call, 404, NULL, NULL, 0);
 }
 
-/* Timers of the event loop do not count suspended time, so each request rechecks its deadline.
- */
+/* Timers of the event loop do not count time while the machine is suspended, so each request
+ * rechecks its deadline. */
 static void on_resumed_after_pause(void *context, const struct wake *wake)
 {
     struct edge *edge = context;
--- a/src/edge/edge_addresses.c
+++ b/src/edge/edge_addresses.c
@@ -27,8 +27,8 @@
     list->count++;
 }
 
-/* Adds gateways that accept new clients; with `same_zone` only those in the zone of `question`.
- */
+/* Adds gateways that accept new clients; with `same_zone` only those in the zone that `question`
+ * names. */
 static void collect_addresses(struct edge *edge, const struct address_query *question,
                               bool same_zone, struct address_list *list)
 {
--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -1,5 +1,4 @@
-/* Applies published platform state: configuration, backends, and versions of weights.
- */
+/* Applies published platform state: configuration, backends and versions of weights. */
 #include "base/log.h"
 #include "base/metrics.h"
 #include "core/hash.h"
--- a/src/edge/exchange_end.c
+++ b/src/edge/exchange_end.c
@@ -1,5 +1,4 @@
-/* Ends of requests and attempts: local responses, Retry-After, one log line for each request.
- */
+/* Ends of requests and attempts: local responses, Retry-After, one log line per request. */
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
--- a/src/edge/exchange_internal.h
+++ b/src/edge/exchange_internal.h
@@ -139,8 +139,7 @@
 /** \brief Sets the criteria that keep a suspect apart from other requests. */
 void exchange_fill_isolation(struct exchange *exchange, uint64_t now,
                              struct backend_criteria *criteria);
-/** \return whether it must wait for a lease on the chosen backend; it is delayed or refused then
- */
+/** \return whether it must wait for a lease on the chosen backend; then it is delayed or refused */
 bool exchange_waits_for_lease(struct exchange *exchange, const struct backend *backend,
                               uint64_t now);
 
@@ -156,7 +155,7 @@
 /** \brief Removes the request from the queue, if it is there. */
 void exchange_dequeue(struct exchange *exchange);
 
-/* --- end_reason.c --- */
+/* --- exchange_end.c --- */
 
 /** \return name for logs */
 const char *end_reason_name(enum end_reason end);
@@ -201,7 +200,7 @@
 /** \brief Sends the request to a backend, queues it, or fails it. */
 void exchange_dispatch(struct exchange *exchange);
 /** \return time at which the first backoff ends, if all backends that could run the request asked
- * for one; 0: not so */
+ * for one; 0: otherwise */
 uint64_t exchange_backoff_end(struct exchange *exchange, uint64_t now);
 /**
  * \param heard_after time since which an engine must have reported or responded; 0: any
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -49,7 +49,7 @@
     return newest ? newest : INITIAL_VERSION;
 }
 
-/* \return expected duration of a stream; 0: unknown, or of no account as a resumed stream goes to
+/* \return expected duration of a stream; 0: unknown, or irrelevant, as a resumed stream goes to
  * any backend */
 static uint64_t expected_duration_us(const struct exchange *exchange)
 {
@@ -307,8 +307,8 @@
         dispatch_new(exchange);
 }
 
-/* Offers free slots to a queued request; fails it if none can come. \return whether it was dequeued
- */
+/* Offers free slots to a queued request; fails it if none can become free.
+ * \return whether it was dequeued */
 static bool offer_slot(struct exchange *exchange)
 {
     uint64_t now = cluster_now();
--- a/tests/core/backend_pool_test.c
+++ b/tests/core/backend_pool_test.c
@@ -135,8 +135,8 @@
     backend_pool_destroy(pool);
 }
 
-/* After a power failure the store first answers some tenths of a second after the gateway starts.
- */
+/* After a power failure the store does not answer until some tenths of a second after the gateway
+ * has started. */
 static void a_store_that_answers_soon_after_the_start_has_not_failed(void **state)
 {
     struct backend_pool_settings started = settings;
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -250,8 +250,7 @@
     backend_pool_destroy(pool);
 }
 
-/* --- random orders of events ---------------------------------------------------------------------
- */
+/* --- random orders of events ------------------------------------------------------------------ */
 
 #define FUZZ_STEPS 60
 #define FUZZ_BACKENDS 3
--- a/tests/core/crash_table_test.c
+++ b/tests/core/crash_table_test.c
@@ -286,8 +286,7 @@
     crash_table_destroy(table);
 }
 
-/* --- merging in any order ------------------------------------------------------------------------
- */
+/* --- merging in any order --------------------------------------------------------------------- */
 
 enum { FACTS = 24, NODES = 3, REQUESTS = 5, INCARNATIONS = 7 };
 
@@ -375,8 +374,7 @@
     }
 }
 
-/* --- simulated engines ---------------------------------------------------------------------------
- */
+/* --- simulated engines ------------------------------------------------------------------------ */
 
 enum {
     ENGINES = 12,
@@ -468,8 +466,8 @@
             world->crashing + world->prepare_next_request++ % (WORLD_REQUESTS - world->crashing);
 }
 
-/* \return other requests that were refused when they were to be resumed, or are blocked at the end
- */
+/* \return number of other requests that were refused when they were to be resumed, or are blocked
+ * at the end */
 static uint32_t run_world(struct world *world)
 {
     uint32_t blocked = 0;
