--- a/src/edge/edge_state.c
+++ b/src/edge/edge_state.c
@@ -1,5 +1,4 @@
-/* Applies published platform state: configuration, backends, and versions of weights.
- */
+/* Applies published platform state: configuration, backends and versions of weights. */
 #include "base/log.h"
 #include "base/metrics.h"
 #include "core/hash.h"
@@ -35,7 +34,7 @@
     return state;
 }
 
-struct caller_times *edge_route_times(struct edge *edge, const char *route)
+struct client_retry_times *edge_route_times(struct edge *edge, const char *route)
 {
     uint64_t name = hash_name(route);
     for (uint32_t i = 0; i < edge->route_count; i++)
--- a/src/edge/exchange_send.c
+++ b/src/edge/exchange_send.c
@@ -2,7 +2,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/metrics.h"
-#include "core/place_wait.h"
+#include "core/slot_wait.h"
 #include "edge/crash_watch.h"
 #include "edge/exchange_internal.h"
 #include <inttypes.h>
@@ -49,7 +49,7 @@
     return newest ? newest : INITIAL_VERSION;
 }
 
-/* \return expected duration of a stream; 0: unknown, or of no account as a resumed stream goes to
+/* \return expected duration of a stream; 0: unknown, or irrelevant, as a resumed stream goes to
  * any backend */
 static uint64_t expected_duration_us(const struct exchange *exchange)
 {
@@ -261,7 +261,7 @@
                                  uint64_t now)
 {
     uint64_t backoff_end = absence == BACKEND_NONE ? exchange_backoff_end(exchange, now) : 0;
-    if (!place_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
+    if (!slot_wait_refuses(absence, backoff_end, exchange->wait_until, now) &&
         exchange->tried_count < BACKEND_MAX_EXCLUDED)
         return false;
     exchange->no_backend = absence == BACKEND_NONE && !exchange->tried_count;
@@ -307,8 +307,8 @@
         dispatch_new(exchange);
 }
 
-/* Offers free slots to a queued request; fails it if none can come. \return whether it was dequeued
- */
+/* Offers free slots to a queued request; fails it if none can become free.
+ * \return whether it was dequeued */
 static bool offer_slot(struct exchange *exchange)
 {
     uint64_t now = cluster_now();
--- a/tests/core/backend_statement_test.c
+++ b/tests/core/backend_statement_test.c
@@ -1,4 +1,4 @@
-/* Statements of backends about themselves hold for their start, whatever the list says. */
+/* Statements of backends about themselves hold for their incarnation, whatever the list says. */
 #include "testing.h"
 
 #include "core/backend_pool.h"
@@ -110,13 +110,13 @@
     }
 }
 
-static void statements_do_not_bind_the_next_start(void **state)
+static void statements_do_not_bind_the_next_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     backend_pool_apply_statement(pool, list(pool, 1, 7), &leaving, 2);
     struct backend *next = list(pool, 1, 8);
     assert_ptr_equal(choose(pool, 3), next);
-    /* A load report may name a later start before the list does. */
+    /* A load report may name a later incarnation before the list does. */
     backend_pool_apply_statement(pool, next, &leaving, 4);
     struct backend_load load = {.version = 1, .born = 9};
     assert_non_null(backend_pool_report(pool, "10.0.0.1:80", &load, 5));
@@ -124,7 +124,7 @@
     backend_pool_destroy(pool);
 }
 
-static void without_start_times_a_backend_shown_after_an_end_is_a_new_start(void **state)
+static void without_start_times_a_backend_shown_after_an_end_is_a_new_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 0);
@@ -146,7 +146,7 @@
 
 /* Guards against taking a repeated entry for evidence that the backend is up: 40 requests went to
  * an address that refused them. */
-static void a_repeated_entry_does_not_revive_its_start(void **state)
+static void a_repeated_entry_does_not_revive_its_incarnation(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend *backend = list(pool, 1, 7);
@@ -235,10 +235,10 @@
 }
 
 /* Guards against a backoff that is lost at a restart. During a store outage a backend restarted
- * under its id and asked for a backoff in an answer. The list named the new start 1.2 s later, so
- * the backoff was attributed to the earlier start, and 11 requests of one gateway reached the
- * backend before the backoff was over. */
-static void a_backoff_holds_for_a_start_that_is_listed_late(void **state)
+ * under its id and asked for a backoff in an answer. The list named the new incarnation 1.2 s
+ * later, so the backoff was attributed to the earlier incarnation, and 11 requests of one gateway
+ * reached the backend before the backoff was over. */
+static void a_backoff_holds_for_an_incarnation_that_is_listed_late(void **state)
 {
     struct backend_pool *pool = backend_pool_create(&settings, 1);
     struct backend_statement three = backs_off(3 * SECOND_US);
@@ -250,13 +250,12 @@
     backend_pool_destroy(pool);
 }
 
-/* --- random orders of events ---------------------------------------------------------------------
- */
+/* --- random orders of events ------------------------------------------------------------------ */
 
 #define FUZZ_STEPS 60
 #define FUZZ_BACKENDS 3
 
-/* What the current start of a backend has stated, tracked outside the pool. */
+/* What the current incarnation of a backend has stated, tracked outside the pool. */
 struct stated {
     uint64_t born;
     bool leaving;
@@ -271,7 +270,7 @@
     uint64_t now;
 };
 
-static void begin_start(struct scenario *scenario, int number)
+static void begin_incarnation(struct scenario *scenario, int number)
 {
     struct stated *stated = &scenario->stated[number];
     *stated = (struct stated){.born = stated->born + 1};
@@ -294,7 +293,7 @@
     struct backend *backend = scenario->connected[number];
     struct stated *stated = &scenario->stated[number];
     if (!backend || backend->listing.born != stated->born)
-        return; /* connections end with their start */
+        return; /* connections end with their incarnation */
     struct backend_statement statement = {.works = random_below(&scenario->random, 2)};
     statement.leaving = stated->leaving || random_below(&scenario->random, 6) == 0;
     if (random_below(&scenario->random, 3) == 0)
@@ -318,10 +317,10 @@
     struct backend *backend = backend_pool_find_address(scenario->pool, address);
     switch (random_below(&scenario->random, 11)) {
     case 0:
-        begin_start(scenario, number);
+        begin_incarnation(scenario, number);
         break;
     case 1:
-    case 2: /* an entry of the current start, or an outdated one */
+    case 2: /* an entry of the current incarnation, or an outdated one */
         list(scenario->pool, number + 1,
              scenario->stated[number].born - random_below(&scenario->random, 2));
         break;
@@ -347,8 +346,8 @@
     }
 }
 
-/* Neither the choice nor the check before sending lets a request go to a start that is leaving or
- * backed off. */
+/* Neither the choice nor the check before sending lets a request go to an incarnation that is
+ * leaving or backed off. */
 static void check_choices(struct scenario *scenario)
 {
     for (int i = 0; i < 4; i++) {
@@ -357,7 +356,7 @@
             return;
         const struct stated *stated = &scenario->stated[atoi(chosen->listing.id + 2) - 1];
         if (chosen->listing.born != stated->born)
-            continue; /* this start has already ended */
+            continue; /* this incarnation has already ended */
         assert_false(stated->leaving);
         assert_true(scenario->now >= stated->backoff_until);
         assert_true(may_begin(scenario->pool, chosen, scenario->now));
@@ -396,7 +395,7 @@
     backend_record_leaving(backend, 101 * SECOND_US); /* the first record counts */
     assert_false(backend_exit_is_planned(pool, backend, 102 * SECOND_US - 1));
     assert_true(backend_exit_is_planned(pool, backend, 102 * SECOND_US));
-    backend = list(pool, 1, 6); /* the next start has not announced anything */
+    backend = list(pool, 1, 6); /* the next incarnation has not announced anything */
     assert_false(backend_exit_is_planned(pool, backend, 110 * SECOND_US));
     backend_pool_destroy(pool);
 }
@@ -440,15 +439,15 @@
         cmocka_unit_test(a_leaving_backend_gets_no_requests_even_if_listed_again),
         cmocka_unit_test(leaving_survives_a_loss_of_the_list),
         cmocka_unit_test(statements_of_a_removed_backend_apply_when_it_is_listed_again),
-        cmocka_unit_test(statements_do_not_bind_the_next_start),
-        cmocka_unit_test(without_start_times_a_backend_shown_after_an_end_is_a_new_start),
-        cmocka_unit_test(a_repeated_entry_does_not_revive_its_start),
+        cmocka_unit_test(statements_do_not_bind_the_next_incarnation),
+        cmocka_unit_test(without_start_times_a_backend_shown_after_an_end_is_a_new_incarnation),
+        cmocka_unit_test(a_repeated_entry_does_not_revive_its_incarnation),
         cmocka_unit_test(leaving_in_a_load_report_counts),
         cmocka_unit_test(a_backoff_lasts_as_long_as_requested),
         cmocka_unit_test(a_backoff_is_limited_to_an_hour),
         cmocka_unit_test(after_a_backoff_one_probe_goes_first),
         cmocka_unit_test(other_backends_are_used_during_a_backoff),
-        cmocka_unit_test(a_backoff_holds_for_a_start_that_is_listed_late),
+        cmocka_unit_test(a_backoff_holds_for_an_incarnation_that_is_listed_late),
         cmocka_unit_test(no_order_of_events_violates_a_statement),
         cmocka_unit_test(an_exit_is_planned_after_the_minimum_drain_time),
         cmocka_unit_test(an_exit_is_planned_if_the_start_of_leaving_is_not_known),
