--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -34,7 +34,7 @@
 #define MAX_TOKENS 100000
 #define PREFIX_BYTES 64
 
-struct loaded {
+struct loaded_model {
     char model[MANIFEST_NAME_SIZE];
     char version[MANIFEST_NAME_SIZE];
     char digest[DIGEST_HEX_SIZE];
@@ -45,7 +45,7 @@
     uint64_t seed;      /* of the tokens */
     uint64_t next;      /* token that the batch makes next */
     uint64_t available; /* tokens made */
-    uint64_t given;     /* tokens written to the connection */
+    uint64_t formatted; /* tokens written to the connection */
     uint64_t count;
     uint32_t prefill; /* steps before the first token */
     unsigned priority;
@@ -54,30 +54,30 @@
     bool closed;
     char line[160];
     size_t line_size;
-    size_t line_given;
-    bool end_written;
+    size_t line_sent;
+    bool end_formatted;
 };
 
 struct cache_event {
     uint64_t prefix;
     bool stored; /* else evicted */
-    uint64_t visible_at;
+    uint64_t visible_at_us;
 };
 
 struct engine {
     pthread_mutex_t lock;
     pthread_cond_t progress;
-    struct loaded models[MAX_MODELS];
+    struct loaded_model models[MAX_MODELS];
     uint32_t model_count;
     unsigned long long fence[3];
     struct stream *streams[MAX_STREAMS];
     uint32_t stream_count;
-    uint64_t cached[MAX_CACHED]; /* prefixes, oldest first */
+    uint64_t cached_prefixes[MAX_CACHED]; /* prefixes, oldest first */
     uint32_t cached_count;
     struct cache_event events[MAX_EVENTS]; /* event N is at N % MAX_EVENTS */
     uint64_t event_count;
     uint64_t report[2]; /* queue and batch */
-    uint64_t report_at;
+    uint64_t next_report_us;
     uint64_t arrivals;
     uint64_t generated;
     uint64_t cancelled;
@@ -100,7 +100,7 @@
     size_t size;
 };
 
-static size_t append(char *data, size_t unit, size_t count, void *context)
+static size_t append_received(char *data, size_t unit, size_t count, void *context)
 {
     struct buffer *buffer = context;
     buffer->data = memory_resize(buffer->data, buffer->size + unit * count);
@@ -109,7 +109,7 @@
     return unit * count;
 }
 
-static bool pull(CURL *easy, const char *source, const char *hex, struct buffer *buffer)
+static bool fetch_blob(CURL *easy, const char *source, const char *hex, struct buffer *buffer)
 {
     char url[512];
     long status = 0;
@@ -122,13 +122,13 @@
     return good && status == 200;
 }
 
-static bool pull_chunks(CURL *easy, const char *source, const struct manifest *manifest,
-                        struct buffer *buffer)
+static bool fetch_chunks(CURL *easy, const char *source, const struct manifest *manifest,
+                         struct buffer *buffer)
 {
     for (uint32_t i = 0; i < manifest->chunk_count; i++) {
         char hex[DIGEST_HEX_SIZE];
         digest_to_hex(&manifest->chunks[i], hex);
-        if (!pull(easy, source, hex, buffer))
+        if (!fetch_blob(easy, source, hex, buffer))
             return false;
         struct digest digest = digest_of(buffer->data, buffer->size);
         if (!digest_equal(&digest, &manifest->chunks[i]))
@@ -138,7 +138,7 @@
 }
 
 /* \return what is wrong, or NULL when every chunk of one manifest is there */
-static const char *pull_version(const char *source, const char *hex, struct manifest *manifest)
+static const char *fetch_version(const char *source, const char *hex, struct manifest *manifest)
 {
     struct digest expected;
     struct buffer buffer = {0};
@@ -148,11 +148,11 @@
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append);
-    if (digest_from_hex(hex, &expected) != STATUS_OK || !pull(easy, source, hex, &buffer) ||
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_received);
+    if (digest_from_hex(hex, &expected) != STATUS_OK || !fetch_blob(easy, source, hex, &buffer) ||
         manifest_parse(buffer.data, buffer.size, &expected, manifest) != STATUS_OK)
         problem = "the manifest cannot be had";
-    else if (!pull_chunks(easy, source, manifest, &buffer))
+    else if (!fetch_chunks(easy, source, manifest, &buffer))
         problem = "a chunk is missing or wrong";
     curl_easy_cleanup(easy);
     curl_slist_free_all(headers);
@@ -161,7 +161,7 @@
 }
 
 /* Lock held. Orders of an older (revision, incarnation, sequence) are refused. */
-static bool take_fence(struct engine *engine, const json_t *fence)
+static bool accept_fence(struct engine *engine, const json_t *fence)
 {
     unsigned long long order[3] = {
         (unsigned long long)json_integer_value(json_object_get(fence, "revision")),
@@ -178,15 +178,16 @@
     return true;
 }
 
-static void set_loaded(struct engine *engine, const struct loaded *loaded)
+static void set_loaded_model(struct engine *engine, const struct loaded_model *loaded_model)
 {
-    uint32_t at = 0;
-    while (at < engine->model_count && strcmp(engine->models[at].model, loaded->model) != 0)
-        at++;
-    if (at == MAX_MODELS)
-        at = 0;
-    engine->models[at] = *loaded;
-    if (at == engine->model_count)
+    uint32_t index = 0;
+    while (index < engine->model_count &&
+           strcmp(engine->models[index].model, loaded_model->model) != 0)
+        index++;
+    if (index == MAX_MODELS)
+        index = 0;
+    engine->models[index] = *loaded_model;
+    if (index == engine->model_count)
         engine->model_count++;
 }
 
@@ -198,25 +199,25 @@
     const char *source;
     json_t *fence;
     struct manifest manifest = {0};
-    struct loaded loaded = {{0}, {0}, {0}};
+    struct loaded_model loaded_model = {{0}, {0}, {0}};
     if (json_unpack((json_t *)order, "{s:s, s:s, s:s, s:s, s:o}", "model", &model, "version",
                     &version, "digest", &digest, "source", &source, "fence", &fence) != 0)
         return "a field is missing";
     pthread_mutex_lock(&engine->lock);
-    bool current = take_fence(engine, fence);
+    bool current = accept_fence(engine, fence);
     pthread_mutex_unlock(&engine->lock);
     if (!current)
         return "the fence is old";
-    const char *problem = pull_version(source, digest, &manifest);
+    const char *problem = fetch_version(source, digest, &manifest);
     if (problem)
         return problem;
     standin_sleep_us(engine->load_ms * 1000);
-    snprintf(loaded.model, sizeof loaded.model, "%s", manifest.model);
-    snprintf(loaded.version, sizeof loaded.version, "%s", manifest.version);
-    snprintf(loaded.digest, sizeof loaded.digest, "%s", digest);
+    snprintf(loaded_model.model, sizeof loaded_model.model, "%s", manifest.model);
+    snprintf(loaded_model.version, sizeof loaded_model.version, "%s", manifest.version);
+    snprintf(loaded_model.digest, sizeof loaded_model.digest, "%s", digest);
     manifest_clear(&manifest);
     pthread_mutex_lock(&engine->lock);
-    set_loaded(engine, &loaded);
+    set_loaded_model(engine, &loaded_model);
     pthread_mutex_unlock(&engine->lock);
     return NULL;
 }
@@ -227,9 +228,10 @@
     json_t *order = json_loadb(request->body, request->size, 0, NULL);
     const char *problem = load(engine, order);
     if (problem)
-        standin_json(reply, 409, json_pack("{s:s}", "error", problem));
+        standin_reply_json(reply, 409, json_pack("{s:s}", "error", problem));
     else
-        standin_json(reply, 200, json_pack("{s:O}", "digest", json_object_get(order, "digest")));
+        standin_reply_json(reply, 200,
+                           json_pack("{s:O}", "digest", json_object_get(order, "digest")));
     json_decref(order);
 }
 
@@ -242,50 +244,50 @@
                                                 "version", engine->models[i].version, "digest",
                                                 engine->models[i].digest));
     pthread_mutex_unlock(&engine->lock);
-    standin_json(reply, 200, json_pack("{s:o}", "models", models));
+    standin_reply_json(reply, 200, json_pack("{s:o}", "models", models));
 }
 
 /* ---- prefix cache ---- */
 
 /* Lock held. */
-static void add_event(struct engine *engine, uint64_t prefix, bool stored)
+static void record_cache_event(struct engine *engine, uint64_t prefix, bool stored)
 {
     struct cache_event *event = &engine->events[engine->event_count++ % MAX_EVENTS];
     *event = (struct cache_event){prefix, stored, standin_now_us() + engine->event_lag_ms * 1000};
 }
 
 /* Lock held. \return whether the prefix was there */
-static bool use_prefix(struct engine *engine, uint64_t prefix)
+static bool cache_prefix(struct engine *engine, uint64_t prefix)
 {
-    uint32_t at = 0;
-    while (at < engine->cached_count && engine->cached[at] != prefix)
-        at++;
-    bool hit = at < engine->cached_count;
+    uint32_t index = 0;
+    while (index < engine->cached_count && engine->cached_prefixes[index] != prefix)
+        index++;
+    bool hit = index < engine->cached_count;
     if (!hit && engine->cached_count == engine->cache_entries) {
-        add_event(engine, engine->cached[0], false);
-        at = 0;
+        record_cache_event(engine, engine->cached_prefixes[0], false);
+        index = 0;
     }
     if (hit || engine->cached_count == engine->cache_entries) {
-        memmove(&engine->cached[at], &engine->cached[at + 1],
-                (engine->cached_count - at - 1) * sizeof engine->cached[0]);
+        memmove(&engine->cached_prefixes[index], &engine->cached_prefixes[index + 1],
+                (engine->cached_count - index - 1) * sizeof engine->cached_prefixes[0]);
         engine->cached_count--;
     }
-    engine->cached[engine->cached_count++] = prefix;
+    engine->cached_prefixes[engine->cached_count++] = prefix;
     if (!hit)
-        add_event(engine, prefix, true);
+        record_cache_event(engine, prefix, true);
     return hit;
 }
 
 static void handle_events(struct engine *engine, const struct standin_request *request,
                           struct standin_reply *reply)
 {
-    uint64_t after = standin_query(request, "after", 0);
+    uint64_t after = standin_query_number(request, "after", 0);
     json_t *events = json_array();
     pthread_mutex_lock(&engine->lock);
     uint64_t oldest = engine->event_count > MAX_EVENTS ? engine->event_count - MAX_EVENTS : 0;
     for (uint64_t i = after > oldest ? after : oldest; i < engine->event_count; i++) {
         const struct cache_event *event = &engine->events[i % MAX_EVENTS];
-        if (event->visible_at > standin_now_us())
+        if (event->visible_at_us > standin_now_us())
             break;
         if (engine->event_gap && i % engine->event_gap == engine->event_gap - 1)
             continue;
@@ -294,7 +296,7 @@
                                                 event->stored ? "stored" : "evicted"));
     }
     pthread_mutex_unlock(&engine->lock);
-    standin_json(reply, 200, json_pack("{s:o}", "events", events));
+    standin_reply_json(reply, 200, json_pack("{s:o}", "events", events));
 }
 
 /* ---- batching ---- */
@@ -308,7 +310,7 @@
 }
 
 /* Admit waiting streams into the batch: higher priority first, then by arrival. Lock held. */
-static void fill_batch(struct engine *engine)
+static void admit_streams(struct engine *engine)
 {
     while (count_running(engine) < engine->batch) {
         struct stream *best = NULL;
@@ -356,12 +358,12 @@
         if (standin_fault() == FAULT_SLOW)
             standin_sleep_us(9 * engine->step_us);
         pthread_mutex_lock(&engine->lock);
-        fill_batch(engine);
+        admit_streams(engine);
         step_batch(engine);
-        if (standin_now_us() >= engine->report_at) {
+        if (standin_now_us() >= engine->next_report_us) {
             engine->report[1] = count_running(engine);
             engine->report[0] = engine->stream_count - engine->report[1];
-            engine->report_at = standin_now_us() + engine->report_lag_ms * 1000;
+            engine->next_report_us = standin_now_us() + engine->report_lag_ms * 1000;
         }
         pthread_cond_broadcast(&engine->progress);
         pthread_mutex_unlock(&engine->lock);
@@ -371,45 +373,45 @@
 
 /* ---- streams ---- */
 
-static void next_line(struct stream *stream)
+static void format_next_line(struct stream *stream)
 {
-    stream->line_given = 0;
-    if (stream->given < stream->available) {
-        uint64_t token = hash_pair(stream->seed, stream->given) & 0xffffff;
-        stream->line_size =
-            (size_t)snprintf(stream->line, sizeof stream->line,
-                             "{\"i\":%" PRIu64 ",\"t\":\"%06" PRIx64 "\"}\n", stream->given, token);
-        stream->given++;
+    stream->line_sent = 0;
+    if (stream->formatted < stream->available) {
+        uint64_t token = hash_pair(stream->seed, stream->formatted) & 0xffffff;
+        stream->line_size = (size_t)snprintf(stream->line, sizeof stream->line,
+                                             "{\"i\":%" PRIu64 ",\"t\":\"%06" PRIx64 "\"}\n",
+                                             stream->formatted, token);
+        stream->formatted++;
         return;
     }
     stream->line_size =
         (size_t)snprintf(stream->line, sizeof stream->line,
                          "{\"end\":\"done\",\"tokens\":%" PRIu64 "}\n", stream->count);
-    stream->end_written = true;
+    stream->end_formatted = true;
 }
 
-static ssize_t read_tokens(void *context, char *buffer, size_t most)
+static ssize_t read_tokens(void *context, char *buffer, size_t capacity)
 {
     struct stream *stream = context;
     struct engine *engine = stream->engine;
-    if (stream->line_given == stream->line_size) {
-        if (stream->end_written)
+    if (stream->line_sent == stream->line_size) {
+        if (stream->end_formatted)
             return 0;
         pthread_mutex_lock(&engine->lock);
-        while (stream->given == stream->available && stream->given < stream->count &&
+        while (stream->formatted == stream->available && stream->formatted < stream->count &&
                standin_fault() != FAULT_DOWN)
             pthread_cond_wait(&engine->progress, &engine->lock);
         bool down = standin_fault() == FAULT_DOWN;
         if (!down)
-            next_line(stream);
+            format_next_line(stream);
         pthread_mutex_unlock(&engine->lock);
         if (down)
             return -1;
     }
-    size_t left = stream->line_size - stream->line_given;
-    size_t size = left < most ? left : most;
-    memcpy(buffer, stream->line + stream->line_given, size);
-    stream->line_given += size;
+    size_t left = stream->line_size - stream->line_sent;
+    size_t size = left < capacity ? left : capacity;
+    memcpy(buffer, stream->line + stream->line_sent, size);
+    stream->line_sent += size;
     return (ssize_t)size;
 }
 
@@ -418,7 +420,7 @@
     struct stream *stream = context;
     struct engine *engine = stream->engine;
     pthread_mutex_lock(&engine->lock);
-    if (!stream->end_written)
+    if (!stream->end_formatted)
         engine->cancelled++;
     for (uint32_t i = 0; i < engine->stream_count; i++)
         if (engine->streams[i] == stream)
@@ -427,8 +429,8 @@
     free(stream);
 }
 
-static const struct loaded *find_loaded(const struct engine *engine, const char *model,
-                                        const char *digest)
+static const struct loaded_model *find_loaded_model(const struct engine *engine, const char *model,
+                                                    const char *digest)
 {
     for (uint32_t i = 0; i < engine->model_count; i++)
         if (model && digest && strcmp(engine->models[i].model, model) == 0 &&
@@ -439,14 +441,15 @@
 
 static void refuse(struct standin_reply *reply, unsigned status, const char *text)
 {
-    standin_json(reply, status, json_pack("{s:s}", "error", text));
+    standin_reply_json(reply, status, json_pack("{s:s}", "error", text));
     reply->headers[0][0] = "X-Note";
     reply->headers[0][1] = "not-run";
 }
 
 /* Lock held. */
 static struct stream *add_stream(struct engine *engine, const struct standin_request *request,
-                                 const struct loaded *loaded, const char *prompt, uint64_t count)
+                                 const struct loaded_model *loaded_model, const char *prompt,
+                                 uint64_t count)
 {
     const char *offset = standin_header(request, "X-Offset");
     const char *priority = standin_header(request, "X-Priority");
@@ -454,15 +457,15 @@
     size_t length = strlen(prompt);
     uint64_t prefix = hash_bytes(prompt, length < PREFIX_BYTES ? length : PREFIX_BYTES);
     stream->engine = engine;
-    stream->seed = hash_pair(hash_name(loaded->digest), hash_name(prompt));
+    stream->seed = hash_pair(hash_name(loaded_model->digest), hash_name(prompt));
     stream->next = offset ? strtoull(offset, NULL, 10) : 0;
     stream->next = stream->next < count ? stream->next : count;
-    stream->given = stream->next;
+    stream->formatted = stream->next;
     stream->available = stream->next;
     stream->count = count;
     stream->priority = priority ? (unsigned)strtoul(priority, NULL, 10) : 0;
     stream->arrival = engine->arrivals++;
-    stream->prefill = use_prefix(engine, prefix) ? 0 : (uint32_t)engine->prefill_steps;
+    stream->prefill = cache_prefix(engine, prefix) ? 0 : (uint32_t)engine->prefill_steps;
     engine->streams[engine->stream_count++] = stream;
     return stream;
 }
@@ -475,16 +478,16 @@
     json_int_t count = json_integer_value(json_object_get(body, "max_tokens"));
     count = count > 0 && count < MAX_TOKENS ? count : DEFAULT_TOKENS;
     pthread_mutex_lock(&engine->lock);
-    const struct loaded *loaded = find_loaded(engine, standin_header(request, "X-Model"),
-                                              standin_header(request, "X-Digest"));
+    const struct loaded_model *loaded_model = find_loaded_model(
+        engine, standin_header(request, "X-Model"), standin_header(request, "X-Digest"));
     uint64_t waiting = engine->stream_count - count_running(engine);
     struct stream *stream = NULL;
-    if (!loaded)
+    if (!loaded_model)
         refuse(reply, 409, "that version is not loaded");
     else if (waiting >= engine->queue_limit || engine->stream_count == MAX_STREAMS)
         refuse(reply, 503, "the queue is full");
     else
-        stream = add_stream(engine, request, loaded, prompt ? prompt : "", (uint64_t)count);
+        stream = add_stream(engine, request, loaded_model, prompt ? prompt : "", (uint64_t)count);
     pthread_mutex_unlock(&engine->lock);
     json_decref(body);
     if (!stream)
@@ -498,20 +501,20 @@
 static void handle_report(struct engine *engine, struct standin_reply *reply)
 {
     pthread_mutex_lock(&engine->lock);
-    standin_json(reply, 200,
-                 json_pack("{s:I, s:I, s:I}", "queue", (json_int_t)engine->report[0], "batch",
-                           (json_int_t)engine->report[1], "batch_limit",
-                           (json_int_t)engine->batch));
+    standin_reply_json(reply, 200,
+                       json_pack("{s:I, s:I, s:I}", "queue", (json_int_t)engine->report[0], "batch",
+                                 (json_int_t)engine->report[1], "batch_limit",
+                                 (json_int_t)engine->batch));
     pthread_mutex_unlock(&engine->lock);
 }
 
 static void handle_stats(struct engine *engine, struct standin_reply *reply)
 {
     pthread_mutex_lock(&engine->lock);
-    standin_json(reply, 200,
-                 json_pack("{s:I, s:I, s:i}", "generated", (json_int_t)engine->generated,
-                           "cancelled", (json_int_t)engine->cancelled, "streams",
-                           engine->stream_count));
+    standin_reply_json(reply, 200,
+                       json_pack("{s:I, s:I, s:i}", "generated", (json_int_t)engine->generated,
+                                 "cancelled", (json_int_t)engine->cancelled, "streams",
+                                 engine->stream_count));
     pthread_mutex_unlock(&engine->lock);
 }
 
@@ -519,22 +522,22 @@
                    struct standin_reply *reply)
 {
     struct engine *engine = context;
-    if (standin_is(request, "GET", "/admin/stats"))
+    if (standin_matches(request, "GET", "/admin/stats"))
         handle_stats(engine, reply);
-    else if (standin_fault() != FAULT_SLOW && standin_fault_before(reply))
+    else if (standin_fault() != FAULT_SLOW && standin_apply_fault(reply))
         return;
-    else if (standin_is(request, "POST", "/v1/load"))
+    else if (standin_matches(request, "POST", "/v1/load"))
         handle_load(engine, request, reply);
-    else if (standin_is(request, "GET", "/v1/status"))
+    else if (standin_matches(request, "GET", "/v1/status"))
         handle_status(engine, reply);
-    else if (standin_is(request, "POST", "/v1/generate"))
+    else if (standin_matches(request, "POST", "/v1/generate"))
         handle_generate(engine, request, reply);
-    else if (standin_is(request, "GET", "/v1/load-report"))
+    else if (standin_matches(request, "GET", "/v1/load-report"))
         handle_report(engine, reply);
-    else if (standin_is(request, "GET", "/v1/events"))
+    else if (standin_matches(request, "GET", "/v1/events"))
         handle_events(engine, request, reply);
     else
-        standin_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
 }
 
 int engine_main(int argc, char **argv)
@@ -552,7 +555,7 @@
         .event_gap = 7,
         .checks_fences = 1,
     };
-    const struct standin_option own[] = {
+    const struct standin_option extra[] = {
         {"batch", &engine.batch, "streams that make tokens at once"},
         {"step-us", &engine.step_us, "time of one step: one token for each stream of the batch"},
         {"queue-limit", &engine.queue_limit, "streams that may wait"},
@@ -566,7 +569,7 @@
         {NULL, NULL, NULL}};
     struct standin_options options;
     pthread_t batches;
-    standin_parse(argc, argv, "Stand-in of a model engine.", &options, own);
+    standin_parse_options(argc, argv, "Stand-in of a model engine.", &options, extra);
     if (engine.cache_entries < 1 || engine.cache_entries > MAX_CACHED)
         engine.cache_entries = MAX_CACHED;
     curl_global_init(CURL_GLOBAL_DEFAULT);
--- a/src/standin/link.c
+++ b/src/standin/link.c
@@ -44,13 +44,13 @@
 }
 
 /* \return false when the connection ended */
-static bool pass_on(int from, int to, char *buffer)
+static bool forward_bytes(int from, int to, char *buffer)
 {
     ssize_t size = read(from, buffer, BUFFER_SIZE);
     return size > 0 && write_all(to, buffer, size);
 }
 
-static void relay_bytes(int client, int server)
+static void relay_connection(int client, int server)
 {
     char *buffer = memory_zero(BUFFER_SIZE, 1);
     struct pollfd descriptors[2] = {{client, POLLIN, 0}, {server, POLLIN, 0}};
@@ -63,9 +63,9 @@
         if (poll(descriptors, 2, POLL_MS) <= 0)
             continue;
         if (descriptors[0].revents)
-            open = pass_on(client, server, buffer);
+            open = forward_bytes(client, server, buffer);
         if (open && descriptors[1].revents)
-            open = pass_on(server, client, buffer);
+            open = forward_bytes(server, client, buffer);
     }
     free(buffer);
 }
@@ -76,14 +76,14 @@
     int server = socket(AF_INET, SOCK_STREAM, 0);
     bool connected = connect(server, (struct sockaddr *)&relay->target, sizeof relay->target) == 0;
     if (connected)
-        relay_bytes(relay->client, server);
+        relay_connection(relay->client, server);
     close(server);
     close(relay->client);
     free(relay);
     return NULL;
 }
 
-static void accept_one(int listener, const struct sockaddr_in *target)
+static void accept_connection(int listener, const struct sockaddr_in *target)
 {
     pthread_t thread;
     struct relay *relay = memory_zero(1, sizeof *relay);
@@ -103,10 +103,10 @@
 {
     struct standin_options options;
     uint64_t target_port = 0;
-    const struct standin_option own[] = {
+    const struct standin_option extra[] = {
         {"target-port", &target_port, "port of the same address to which bytes go"},
         {NULL, NULL, NULL}};
-    standin_parse(argc, argv, "Stand-in of a network link.", &options, own);
+    standin_parse_options(argc, argv, "Stand-in of a network link.", &options, extra);
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)options.port)};
     inet_pton(AF_INET, options.address, &address.sin_addr);
     struct sockaddr_in target = address;
@@ -124,5 +124,5 @@
         return 1;
     }
     for (;;)
-        accept_one(listener, &target);
+        accept_connection(listener, &target);
 }
--- a/src/standin/origin.c
+++ b/src/standin/origin.c
@@ -16,9 +16,9 @@
 #include <string.h>
 
 #define MAX_BLOBS 65536
-#define BLOCK 16384
+#define BLOCK_BYTES 16384
 
-struct stored {
+struct stored_blob {
     struct digest digest;
     uint8_t *data;
     size_t size;
@@ -26,23 +26,23 @@
 
 struct origin {
     pthread_mutex_t lock;
-    struct stored *blobs;
+    struct stored_blob *blobs;
     uint32_t blob_count;
     json_t *readers; /* name to bytes */
-    uint64_t chunk_bytes_read;
-    uint64_t manifest_bytes_read;
+    uint64_t chunk_bytes_sent;
+    uint64_t manifest_bytes_sent;
     uint64_t bytes_per_second;
     uint64_t max_readers;
-    uint64_t readers_now;
+    uint64_t active_readers;
     uint64_t refused;
-    uint64_t link_free_at;  /* the link is busy until then */
-    uint64_t corrupt_every; /* with the fault `corrupt`: every so many reads */
+    uint64_t link_free_at_us; /* the link is busy until then */
+    uint64_t corrupt_every;   /* with the fault `corrupt`: every so many reads */
     uint64_t reads;
 };
 
-struct reading {
+struct blob_read {
     struct origin *origin;
-    const struct stored *blob;
+    const struct stored_blob *blob;
     size_t position;
     bool corrupt;
     bool manifest;
@@ -52,63 +52,63 @@
 /* ---- reading ---- */
 
 /* Take a turn on the link; returns when the block's last byte is through. */
-static void use_link(struct origin *origin, size_t size)
+static void wait_for_link(struct origin *origin, size_t size)
 {
     pthread_mutex_lock(&origin->lock);
     uint64_t now = standin_now_us();
-    uint64_t start = origin->link_free_at > now ? origin->link_free_at : now;
-    origin->link_free_at = start + size * 1000000 / origin->bytes_per_second;
-    uint64_t until = origin->link_free_at;
+    uint64_t start = origin->link_free_at_us > now ? origin->link_free_at_us : now;
+    origin->link_free_at_us = start + size * 1000000 / origin->bytes_per_second;
+    uint64_t until = origin->link_free_at_us;
     pthread_mutex_unlock(&origin->lock);
     if (until > now)
         standin_sleep_us(until - now);
 }
 
-static void count_bytes(struct reading *reading, size_t size)
+static void count_sent_bytes(struct blob_read *blob_read, size_t size)
 {
-    struct origin *origin = reading->origin;
+    struct origin *origin = blob_read->origin;
     pthread_mutex_lock(&origin->lock);
-    json_int_t sum = json_integer_value(json_object_get(origin->readers, reading->reader));
-    json_object_set_new(origin->readers, reading->reader, json_integer(sum + (json_int_t)size));
-    if (reading->manifest)
-        origin->manifest_bytes_read += size;
+    json_int_t sum = json_integer_value(json_object_get(origin->readers, blob_read->reader));
+    json_object_set_new(origin->readers, blob_read->reader, json_integer(sum + (json_int_t)size));
+    if (blob_read->manifest)
+        origin->manifest_bytes_sent += size;
     else
-        origin->chunk_bytes_read += size;
+        origin->chunk_bytes_sent += size;
     pthread_mutex_unlock(&origin->lock);
 }
 
-static ssize_t read_blob(void *context, char *buffer, size_t most)
+static ssize_t read_blob(void *context, char *buffer, size_t capacity)
 {
-    struct reading *reading = context;
-    size_t left = reading->blob->size - reading->position;
-    size_t size = left < most ? left : most;
-    if (size > BLOCK)
-        size = BLOCK;
+    struct blob_read *blob_read = context;
+    size_t left = blob_read->blob->size - blob_read->position;
+    size_t size = left < capacity ? left : capacity;
+    if (size > BLOCK_BYTES)
+        size = BLOCK_BYTES;
     if (!size)
         return 0;
     while (standin_fault() == FAULT_STALL)
         standin_sleep_us(20000);
     if (standin_fault() == FAULT_DOWN)
         return -1;
-    use_link(reading->origin, size);
-    memcpy(buffer, reading->blob->data + reading->position, size);
-    if (reading->corrupt)
+    wait_for_link(blob_read->origin, size);
+    memcpy(buffer, blob_read->blob->data + blob_read->position, size);
+    if (blob_read->corrupt)
         buffer[0] ^= 1;
-    reading->position += size;
-    count_bytes(reading, size);
+    blob_read->position += size;
+    count_sent_bytes(blob_read, size);
     return (ssize_t)size;
 }
 
-static void end_reading(void *context)
+static void end_blob_read(void *context)
 {
-    struct reading *reading = context;
-    pthread_mutex_lock(&reading->origin->lock);
-    reading->origin->readers_now--;
-    pthread_mutex_unlock(&reading->origin->lock);
-    free(reading);
+    struct blob_read *blob_read = context;
+    pthread_mutex_lock(&blob_read->origin->lock);
+    blob_read->origin->active_readers--;
+    pthread_mutex_unlock(&blob_read->origin->lock);
+    free(blob_read);
 }
 
-static const struct stored *find_blob(const struct origin *origin, const struct digest *digest)
+static const struct stored_blob *find_blob(const struct origin *origin, const struct digest *digest)
 {
     for (uint32_t i = 0; i < origin->blob_count; i++)
         if (digest_equal(&origin->blobs[i].digest, digest))
@@ -116,12 +116,12 @@
     return NULL;
 }
 
-static bool enter(struct origin *origin)
+static bool admit_reader(struct origin *origin)
 {
-    bool entered = origin->readers_now < origin->max_readers;
-    origin->readers_now += entered;
-    origin->refused += !entered;
-    return entered;
+    bool admitted = origin->active_readers < origin->max_readers;
+    origin->active_readers += admitted;
+    origin->refused += !admitted;
+    return admitted;
 }
 
 static void serve_blob(struct origin *origin, const struct standin_request *request,
@@ -130,27 +130,27 @@
     struct digest digest;
     const char *reader = standin_header(request, "X-Reader");
     pthread_mutex_lock(&origin->lock);
-    const struct stored *blob =
+    const struct stored_blob *blob =
         digest_from_hex(hex, &digest) == STATUS_OK ? find_blob(origin, &digest) : NULL;
-    bool entered = blob && enter(origin);
-    uint64_t number = entered ? ++origin->reads : 0;
+    bool admitted = blob && admit_reader(origin);
+    uint64_t number = admitted ? ++origin->reads : 0;
     pthread_mutex_unlock(&origin->lock);
-    if (!entered) {
-        standin_json(reply, blob ? 429 : 404, json_pack("{s:s}", "error", "not served"));
+    if (!admitted) {
+        standin_reply_json(reply, blob ? 429 : 404, json_pack("{s:s}", "error", "not served"));
         reply->headers[0][0] = blob ? "Retry-After" : NULL;
         reply->headers[0][1] = "0.1";
         return;
     }
-    struct reading *reading = memory_zero(1, sizeof *reading);
-    reading->origin = origin;
-    reading->blob = blob;
-    reading->manifest = blob->data[0] == '{';
-    reading->corrupt = standin_fault() == FAULT_CORRUPT && number % origin->corrupt_every == 0;
-    snprintf(reading->reader, sizeof reading->reader, "%s", reader ? reader : "unknown");
+    struct blob_read *blob_read = memory_zero(1, sizeof *blob_read);
+    blob_read->origin = origin;
+    blob_read->blob = blob;
+    blob_read->manifest = blob->data[0] == '{';
+    blob_read->corrupt = standin_fault() == FAULT_CORRUPT && number % origin->corrupt_every == 0;
+    snprintf(blob_read->reader, sizeof blob_read->reader, "%s", reader ? reader : "unknown");
     reply->status = 200;
     reply->read = read_blob;
-    reply->end = end_reading;
-    reply->context = reading;
+    reply->end = end_blob_read;
+    reply->context = blob_read;
 }
 
 /* ---- making a model ---- */
@@ -160,11 +160,13 @@
     struct digest digest = digest_of(data, size);
     if (find_blob(origin, &digest) || origin->blob_count == MAX_BLOBS)
         return digest;
-    origin->blobs[origin->blob_count++] = (struct stored){digest, memory_copy(data, size), size};
+    origin->blobs[origin->blob_count++] =
+        (struct stored_blob){digest, memory_copy(data, size), size};
     return digest;
 }
 
-static struct digest make_chunk(struct origin *origin, uint64_t seed, uint64_t index, size_t size)
+static struct digest generate_chunk(struct origin *origin, uint64_t seed, uint64_t index,
+                                    size_t size)
 {
     struct random_stream random = {.seed = seed * 1000003 + index};
     uint8_t *data = memory_zero(size + 8, 1);
@@ -178,8 +180,8 @@
     return digest;
 }
 
-static void make_model(struct origin *origin, const struct standin_request *request,
-                       struct standin_reply *reply)
+static void generate_model(struct origin *origin, const struct standin_request *request,
+                           struct standin_reply *reply)
 {
     const char *model;
     const char *version;
@@ -193,7 +195,7 @@
                     &shared) != 0 ||
         bytes <= 0 || chunk_bytes <= 0) {
         json_decref(body);
-        standin_json(reply, 400, json_pack("{s:s}", "error", "a field is missing"));
+        standin_reply_json(reply, 400, json_pack("{s:s}", "error", "a field is missing"));
         return;
     }
     json_t *chunks = json_array();
@@ -202,7 +204,7 @@
         char hex[DIGEST_HEX_SIZE];
         size_t size = (size_t)(bytes - start < chunk_bytes ? bytes - start : chunk_bytes);
         struct digest digest =
-            make_chunk(origin, index < shared ? 0 : (uint64_t)seed, (uint64_t)index, size);
+            generate_chunk(origin, index < shared ? 0 : (uint64_t)seed, (uint64_t)index, size);
         digest_to_hex(&digest, hex);
         json_array_append_new(chunks, json_string(hex));
     }
@@ -214,7 +216,7 @@
     pthread_mutex_unlock(&origin->lock);
     char hex[DIGEST_HEX_SIZE];
     digest_to_hex(&digest, hex);
-    standin_json(reply, 200, json_pack("{s:s, s:I}", "manifest", hex, "bytes", bytes));
+    standin_reply_json(reply, 200, json_pack("{s:s, s:I}", "manifest", hex, "bytes", bytes));
     free(text);
     json_decref(manifest);
     json_decref(body);
@@ -223,10 +225,10 @@
 static void reply_stats(struct origin *origin, struct standin_reply *reply)
 {
     pthread_mutex_lock(&origin->lock);
-    json_t *stats = json_pack("{s:I, s:I, s:I, s:O}", "chunk_bytes", origin->chunk_bytes_read,
-                              "manifest_bytes", origin->manifest_bytes_read, "refused",
+    json_t *stats = json_pack("{s:I, s:I, s:I, s:O}", "chunk_bytes", origin->chunk_bytes_sent,
+                              "manifest_bytes", origin->manifest_bytes_sent, "refused",
                               origin->refused, "readers", origin->readers);
-    standin_json(reply, 200, stats);
+    standin_reply_json(reply, 200, stats);
     pthread_mutex_unlock(&origin->lock);
 }
 
@@ -235,16 +237,16 @@
 {
     struct origin *origin = context;
     const char *hex;
-    if (standin_is(request, "POST", "/admin/model"))
-        make_model(origin, request, reply);
-    else if (standin_is(request, "GET", "/admin/stats"))
+    if (standin_matches(request, "POST", "/admin/model"))
+        generate_model(origin, request, reply);
+    else if (standin_matches(request, "GET", "/admin/stats"))
         reply_stats(origin, reply);
-    else if (standin_fault_before(reply))
+    else if (standin_apply_fault(reply))
         return;
-    else if ((hex = standin_after(request, "GET", "/v1/blobs/")))
+    else if ((hex = standin_path_suffix(request, "GET", "/v1/blobs/")))
         serve_blob(origin, request, hex, reply);
     else
-        standin_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
 }
 
 int origin_main(int argc, char **argv)
@@ -255,13 +257,13 @@
         .max_readers = 64,
         .corrupt_every = 5,
     };
-    const struct standin_option own[] = {
+    const struct standin_option extra[] = {
         {"bytes-per-second", &origin.bytes_per_second, "rate of the origin's link"},
         {"max-readers", &origin.max_readers, "blobs read at once"},
         {"corrupt-every", &origin.corrupt_every, "with the fault `corrupt`: every so many reads"},
         {NULL, NULL, NULL}};
     struct standin_options options;
-    standin_parse(argc, argv, "Stand-in of the origin of weights.", &options, own);
+    standin_parse_options(argc, argv, "Stand-in of the origin of weights.", &options, extra);
     origin.blobs = memory_zero(MAX_BLOBS, sizeof *origin.blobs);
     origin.readers = json_object();
     return standin_serve(&options, handle, &origin);
--- a/src/standin/standin.c
+++ b/src/standin/standin.c
@@ -15,14 +15,14 @@
 
 #define KEY_ADDRESS 1
 #define KEY_PORT 2
-#define KEY_FIRST_OWN 100
-#define MAX_OWN 16
+#define KEY_FIRST_EXTRA 100
+#define MAX_EXTRA_OPTIONS 16
 #define CONNECTION_LIMIT 4000
-#define STACK_SIZE (128 * 1024)
-#define SLOW_US 300000
-#define STALL_STEP_US 20000
+#define STACK_BYTES (128 * 1024)
+#define SLOW_DELAY_US 300000
+#define STALL_POLL_US 20000
 
-static uint32_t present_fault;
+static uint32_t current_fault;
 static const char *const fault_names[FAULT_COUNT] = {"none",    "refuse", "stall", "slow",
                                                      "corrupt", "stale",  "down",  "crash"};
 
@@ -45,9 +45,9 @@
         options->address = argument;
     } else if (key == KEY_PORT) {
         options->port = (unsigned)strtoul(argument, NULL, 10);
-    } else if (key >= KEY_FIRST_OWN && key < KEY_FIRST_OWN + MAX_OWN) {
+    } else if (key >= KEY_FIRST_EXTRA && key < KEY_FIRST_EXTRA + MAX_EXTRA_OPTIONS) {
         char *rest;
-        *options->own[key - KEY_FIRST_OWN].number = strtoull(argument, &rest, 10);
+        *options->extra[key - KEY_FIRST_EXTRA].number = strtoull(argument, &rest, 10);
         if (*rest || rest == argument)
             argp_error(state, "`%s` is not a whole number", argument);
     } else if (key == ARGP_KEY_ARG) {
@@ -58,16 +58,17 @@
     return 0;
 }
 
-void standin_parse(int argc, char **argv, const char *doc, struct standin_options *options,
-                   const struct standin_option *own)
+void standin_parse_options(int argc, char **argv, const char *doc, struct standin_options *options,
+                           const struct standin_option *extra)
 {
-    struct argp_option list[MAX_OWN + 3] = {
+    struct argp_option list[MAX_EXTRA_OPTIONS + 3] = {
         {"address", KEY_ADDRESS, "IP", 0, "IP number to listen on (127.0.0.1)", 0},
         {"port", KEY_PORT, "PORT", 0, "TCP port (9000)", 0},
     };
-    *options = (struct standin_options){"127.0.0.1", 9000, own};
-    for (int i = 0; own && own[i].name; i++)
-        list[i + 2] = (struct argp_option){own[i].name, KEY_FIRST_OWN + i, "N", 0, own[i].help, 0};
+    *options = (struct standin_options){"127.0.0.1", 9000, extra};
+    for (int i = 0; extra && extra[i].name; i++)
+        list[i + 2] =
+            (struct argp_option){extra[i].name, KEY_FIRST_EXTRA + i, "N", 0, extra[i].help, 0};
     struct argp argp = {list, parse_option, NULL, doc, NULL, NULL, NULL};
     argp_parse(&argp, argc, argv, 0, NULL, options);
 }
@@ -76,12 +77,13 @@
 
 enum standin_fault standin_fault(void)
 {
-    return (enum standin_fault)ck_pr_load_32(&present_fault);
+    return (enum standin_fault)ck_pr_load_32(&current_fault);
 }
 
-bool standin_fault_request(const struct standin_request *request, struct standin_reply *reply)
+bool standin_handle_fault_request(const struct standin_request *request,
+                                  struct standin_reply *reply)
 {
-    if (!standin_is(request, "POST", "/admin/fault"))
+    if (!standin_matches(request, "POST", "/admin/fault"))
         return false;
     json_t *body = json_loadb(request->body, request->size, 0, NULL);
     const char *mode = json_string_value(json_object_get(body, "mode"));
@@ -89,21 +91,21 @@
     for (uint32_t i = 0; mode && i < FAULT_COUNT; i++) {
         if (strcmp(mode, fault_names[i]) != 0)
             continue;
-        ck_pr_store_32(&present_fault, i);
+        ck_pr_store_32(&current_fault, i);
         status = 200;
     }
     json_decref(body);
-    standin_json(reply, status, json_pack("{s:s}", "mode", fault_names[standin_fault()]));
+    standin_reply_json(reply, status, json_pack("{s:s}", "mode", fault_names[standin_fault()]));
     return true;
 }
 
-bool standin_fault_before(struct standin_reply *reply)
+bool standin_apply_fault(struct standin_reply *reply)
 {
     if (standin_fault() == FAULT_SLOW)
-        standin_sleep_us(SLOW_US);
+        standin_sleep_us(SLOW_DELAY_US);
     if (standin_fault() == FAULT_STALL) {
         while (standin_fault() == FAULT_STALL)
-            standin_sleep_us(STALL_STEP_US);
+            standin_sleep_us(STALL_POLL_US);
         reply->status = 0;
         return true;
     }
@@ -112,7 +114,7 @@
         return true;
     }
     if (standin_fault() == FAULT_REFUSE) {
-        standin_json(reply, 503, json_pack("{s:s}", "error", "refused"));
+        standin_reply_json(reply, 503, json_pack("{s:s}", "error", "refused"));
         reply->headers[0][0] = "X-Note";
         reply->headers[0][1] = "not-run";
         return true;
@@ -127,14 +129,15 @@
     return MHD_lookup_connection_value(request->connection, MHD_HEADER_KIND, name);
 }
 
-uint64_t standin_query(const struct standin_request *request, const char *name, uint64_t missing)
+uint64_t standin_query_number(const struct standin_request *request, const char *name,
+                              uint64_t default_value)
 {
     const char *text =
         MHD_lookup_connection_value(request->connection, MHD_GET_ARGUMENT_KIND, name);
-    return text ? strtoull(text, NULL, 10) : missing;
+    return text ? strtoull(text, NULL, 10) : default_value;
 }
 
-void standin_json(struct standin_reply *reply, unsigned status, json_t *body)
+void standin_reply_json(struct standin_reply *reply, unsigned status, json_t *body)
 {
     reply->status = status;
     reply->body = json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
@@ -142,13 +145,13 @@
     json_decref(body);
 }
 
-bool standin_is(const struct standin_request *request, const char *method, const char *path)
+bool standin_matches(const struct standin_request *request, const char *method, const char *path)
 {
     return strcmp(request->method, method) == 0 && strcmp(request->path, path) == 0;
 }
 
-const char *standin_after(const struct standin_request *request, const char *method,
-                          const char *prefix)
+const char *standin_path_suffix(const struct standin_request *request, const char *method,
+                                const char *prefix)
 {
     size_t length = strlen(prefix);
     bool same = strcmp(request->method, method) == 0 && strncmp(request->path, prefix, length) == 0;
@@ -169,10 +172,10 @@
     struct standin_reply reply;
 };
 
-static ssize_t read_stream(void *context, uint64_t position, char *buffer, size_t most)
+static ssize_t read_stream(void *context, uint64_t position, char *buffer, size_t capacity)
 {
     struct stream *stream = context;
-    ssize_t size = stream->reply.read(stream->reply.context, buffer, most);
+    ssize_t size = stream->reply.read(stream->reply.context, buffer, capacity);
     if (size == 0)
         return MHD_CONTENT_READER_END_OF_STREAM;
     return size < 0 ? MHD_CONTENT_READER_END_WITH_ERROR : size;
@@ -229,7 +232,7 @@
     }
     struct standin_request request = {method, url, upload->body, upload->size, connection};
     struct standin_reply reply = {0};
-    if (!standin_fault_request(&request, &reply))
+    if (!standin_handle_fault_request(&request, &reply))
         server->handler(server->context, &request, &reply);
     return answer(connection, &reply);
 }
@@ -262,8 +265,8 @@
         MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION | MHD_USE_POLL,
         (uint16_t)options->port, NULL, NULL, on_access, &server, MHD_OPTION_SOCK_ADDR,
         (struct sockaddr *)&address, MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTION_LIMIT,
-        MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_SIZE, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
-        NULL, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
+        MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
+        on_completed, NULL, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
     if (!daemon) {
         fprintf(stderr, "cannot listen on %s:%u\n", options->address, options->port);
         return 1;
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -42,7 +42,7 @@
     size_t size;
     const char *headers[STANDIN_MAX_HEADERS][2];
     /** Bytes of a streamed body; blocks. 0 ends the stream, -1 breaks it. NULL: `body`. */
-    ssize_t (*read)(void *context, char *buffer, size_t most);
+    ssize_t (*read)(void *context, char *buffer, size_t capacity);
     void (*end)(void *context); /**< after the stream, also a broken one; may be NULL */
     void *context;
 };
@@ -54,7 +54,7 @@
 struct standin_options {
     const char *address;
     unsigned port;
-    const struct standin_option *own;
+    const struct standin_option *extra;
 };
 
 struct standin_option {
@@ -64,29 +64,31 @@
 };
 
 /** \brief Parse flags; ends the process on a wrong one. */
-void standin_parse(int argc, char **argv, const char *doc, struct standin_options *options,
-                   const struct standin_option *own);
+void standin_parse_options(int argc, char **argv, const char *doc, struct standin_options *options,
+                           const struct standin_option *extra);
 
 /** \brief Serve until SIGTERM or SIGINT. \return exit status */
 int standin_serve(const struct standin_options *options, standin_handler *handler, void *context);
 
 /* Helpers for handlers. */
 const char *standin_header(const struct standin_request *request, const char *name);
-uint64_t standin_query(const struct standin_request *request, const char *name, uint64_t missing);
-void standin_json(struct standin_reply *reply, unsigned status, json_t *body);
-bool standin_is(const struct standin_request *request, const char *method, const char *path);
+uint64_t standin_query_number(const struct standin_request *request, const char *name,
+                              uint64_t default_value);
+void standin_reply_json(struct standin_reply *reply, unsigned status, json_t *body);
+bool standin_matches(const struct standin_request *request, const char *method, const char *path);
 /** \return the rest of the path after a prefix, or NULL */
-const char *standin_after(const struct standin_request *request, const char *method,
-                          const char *prefix);
+const char *standin_path_suffix(const struct standin_request *request, const char *method,
+                                const char *prefix);
 
 enum standin_fault standin_fault(void);
 /** \brief Handle POST /admin/fault. \return true when it was that */
-bool standin_fault_request(const struct standin_request *request, struct standin_reply *reply);
+bool standin_handle_fault_request(const struct standin_request *request,
+                                  struct standin_reply *reply);
 /**
  * \brief Apply refuse, stall, slow and down before a request is looked at.
  * \return true when `reply` is final
  */
-bool standin_fault_before(struct standin_reply *reply);
+bool standin_apply_fault(struct standin_reply *reply);
 
 uint64_t standin_now_us(void);
 void standin_sleep_us(uint64_t duration);
--- a/src/standin/values.c
+++ b/src/standin/values.c
@@ -16,13 +16,13 @@
 
 #define MAX_KEYS 8
 #define MAX_VERSIONS 4096
-#define MAX_VALUE (1u << 20)
-#define WAIT_STEP_US 5000
+#define MAX_VALUE_BYTES (1u << 20)
+#define WAIT_POLL_US 5000
 
 struct version {
     char *text;
     size_t size;
-    uint64_t visible_at; /* publications show up after the lag */
+    uint64_t visible_at_us; /* publications show up after the lag */
 };
 
 struct value {
@@ -42,8 +42,8 @@
     uint64_t calls;
     uint64_t refused;
     uint64_t waiting;
-    uint64_t most_in_a_second;
-    uint32_t frozen[MAX_KEYS]; /* revisions served while stale; 0: not frozen */
+    uint64_t peak_calls_per_second;
+    uint32_t frozen_revisions[MAX_KEYS]; /* revisions served while stale; 0: not frozen */
 };
 
 static int find_key(struct values *values, const char *key, bool create)
@@ -60,7 +60,7 @@
 }
 
 /* Lock held. */
-static bool count_call(struct values *values)
+static bool admit_call(struct values *values)
 {
     uint64_t now = standin_now_us();
     if (now - values->window_start >= 1000000) {
@@ -68,8 +68,8 @@
         values->window_calls = 0;
     }
     values->calls++;
-    if (++values->window_calls > values->most_in_a_second)
-        values->most_in_a_second = values->window_calls;
+    if (++values->window_calls > values->peak_calls_per_second)
+        values->peak_calls_per_second = values->window_calls;
     if (values->window_calls + values->waiting <= values->calls_per_second)
         return true;
     values->refused++;
@@ -77,23 +77,23 @@
 }
 
 /* Newest revision that readers see. Lock held. */
-static uint32_t visible(struct values *values, int key)
+static uint32_t visible_revision(struct values *values, int key)
 {
     const struct value *value = values->keys[key];
     uint32_t newest = value->count;
-    while (newest && value->versions[newest - 1].visible_at > standin_now_us())
+    while (newest && value->versions[newest - 1].visible_at_us > standin_now_us())
         newest--;
     if (standin_fault() != FAULT_STALE)
-        values->frozen[key] = 0;
-    else if (!values->frozen[key])
-        values->frozen[key] = newest > 1 ? newest - 1 : newest;
-    return values->frozen[key] ? values->frozen[key] : newest;
+        values->frozen_revisions[key] = 0;
+    else if (!values->frozen_revisions[key])
+        values->frozen_revisions[key] = newest > 1 ? newest - 1 : newest;
+    return values->frozen_revisions[key] ? values->frozen_revisions[key] : newest;
 }
 
 static void reply_version(const struct value *value, uint32_t revision, struct standin_reply *reply)
 {
     const struct version *version = &value->versions[revision - 1];
-    standin_json(
+    standin_reply_json(
         reply, 200,
         json_pack("{s:i, s:s%}", "revision", revision, "value", version->text, version->size));
 }
@@ -101,27 +101,27 @@
 static void read_value(struct values *values, const struct standin_request *request,
                        const char *name, struct standin_reply *reply)
 {
-    uint64_t after = standin_query(request, "after", 0);
-    uint64_t deadline = standin_now_us() + standin_query(request, "wait_ms", 0) * 1000;
+    uint64_t after = standin_query_number(request, "after", 0);
+    uint64_t deadline = standin_now_us() + standin_query_number(request, "wait_ms", 0) * 1000;
     pthread_mutex_lock(&values->lock);
-    if (!count_call(values)) {
+    if (!admit_call(values)) {
         pthread_mutex_unlock(&values->lock);
-        standin_json(reply, 429, json_pack("{s:s}", "error", "too many calls"));
+        standin_reply_json(reply, 429, json_pack("{s:s}", "error", "too many calls"));
         reply->headers[0][0] = "Retry-After";
         reply->headers[0][1] = "1";
         return;
     }
     values->waiting++;
     int key = find_key(values, name, false);
-    while ((key < 0 || visible(values, key) <= after) && standin_now_us() < deadline &&
+    while ((key < 0 || visible_revision(values, key) <= after) && standin_now_us() < deadline &&
            (standin_fault() == FAULT_NONE || standin_fault() == FAULT_STALE)) {
         pthread_mutex_unlock(&values->lock);
-        standin_sleep_us(WAIT_STEP_US);
+        standin_sleep_us(WAIT_POLL_US);
         pthread_mutex_lock(&values->lock);
         key = find_key(values, name, false);
     }
     values->waiting--;
-    uint32_t revision = key < 0 ? 0 : visible(values, key);
+    uint32_t revision = key < 0 ? 0 : visible_revision(values, key);
     /* A stale replica answers with what it has, even when the reader knows better. */
     bool answers = revision > after || (standin_fault() == FAULT_STALE && revision);
     if (answers)
@@ -136,17 +136,17 @@
 {
     pthread_mutex_lock(&values->lock);
     int key = find_key(values, name, true);
-    if (key < 0 || values->keys[key]->count == MAX_VERSIONS || request->size > MAX_VALUE) {
+    if (key < 0 || values->keys[key]->count == MAX_VERSIONS || request->size > MAX_VALUE_BYTES) {
         pthread_mutex_unlock(&values->lock);
-        standin_json(reply, 413, json_pack("{s:s}", "error", "too large or too many"));
+        standin_reply_json(reply, 413, json_pack("{s:s}", "error", "too large or too many"));
         return;
     }
     struct value *value = values->keys[key];
     struct version *version = &value->versions[value->count++];
     version->text = memory_copy(request->body, request->size);
     version->size = request->size;
-    version->visible_at = standin_now_us() + values->lag_ms * 1000;
-    standin_json(reply, 200, json_pack("{s:i}", "revision", value->count));
+    version->visible_at_us = standin_now_us() + values->lag_ms * 1000;
+    standin_reply_json(reply, 200, json_pack("{s:i}", "revision", value->count));
     pthread_mutex_unlock(&values->lock);
 }
 
@@ -155,31 +155,31 @@
 {
     struct values *values = context;
     const char *key;
-    if ((key = standin_after(request, "POST", "/admin/publish/"))) {
+    if ((key = standin_path_suffix(request, "POST", "/admin/publish/"))) {
         publish(values, request, key, reply);
-    } else if (standin_is(request, "GET", "/admin/stats")) {
-        standin_json(reply, 200,
-                     json_pack("{s:I, s:I, s:I, s:I}", "calls", values->calls, "refused",
-                               values->refused, "waiting", values->waiting, "most_in_a_second",
-                               values->most_in_a_second));
-    } else if (standin_fault_before(reply)) {
+    } else if (standin_matches(request, "GET", "/admin/stats")) {
+        standin_reply_json(reply, 200,
+                           json_pack("{s:I, s:I, s:I, s:I}", "calls", values->calls, "refused",
+                                     values->refused, "waiting", values->waiting,
+                                     "most_in_a_second", values->peak_calls_per_second));
+    } else if (standin_apply_fault(reply)) {
         return;
-    } else if ((key = standin_after(request, "GET", "/v1/values/"))) {
+    } else if ((key = standin_path_suffix(request, "GET", "/v1/values/"))) {
         read_value(values, request, key, reply);
     } else {
-        standin_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
     }
 }
 
 int values_main(int argc, char **argv)
 {
     struct values values = {.lock = PTHREAD_MUTEX_INITIALIZER, .calls_per_second = 2000};
-    const struct standin_option own[] = {
+    const struct standin_option extra[] = {
         {"calls-per-second", &values.calls_per_second, "calls allowed, a waiting watch as one"},
         {"lag-ms", &values.lag_ms, "time until a publication is seen"},
         {NULL, NULL, NULL}};
     struct standin_options options;
-    standin_parse(argc, argv, "Stand-in of the configuration service and the machine list.",
-                  &options, own);
+    standin_parse_options(argc, argv, "Stand-in of the configuration service and the machine list.",
+                          &options, extra);
     return standin_serve(&options, handle, &values);
 }
--- a/tests/fuzz/fuzz_message.c
+++ b/tests/fuzz/fuzz_message.c
@@ -71,7 +71,7 @@
 {
 }
 
-static void give(const Shuntrun__Envelope *message)
+static void deliver(const Shuntrun__Envelope *message)
 {
     static const char list[] = "{\"machines\":[{\"name\":\"a\",\"role\":\"agent\",\"zone\":\"z\","
                                "\"region\":\"r\",\"address\":\"10.0.0.1\"}]}";
@@ -105,7 +105,7 @@
     if (!message)
         return 0;
     message->from = hash_name("a");
-    give(message);
+    deliver(message);
     shuntrun__envelope__free_unpacked(message, NULL);
     return 0;
 }
--- a/tests/system/held_clock.c
+++ b/tests/system/held_clock.c
@@ -11,21 +11,21 @@
 
 #define NANOSECONDS 1000000000ULL
 
-static const volatile uint64_t *held_ns;
+static const volatile uint64_t *lag_ns;
 
-__attribute__((constructor)) static void open_clock(void)
+__attribute__((constructor)) static void map_lag_file(void)
 {
     const char *path = getenv("SHUNTRUN_TEST_HELD_CLOCK");
     int file = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
     if (file < 0)
         return;
-    void *page = mmap(NULL, sizeof *held_ns, PROT_READ, MAP_SHARED, file, 0);
+    void *page = mmap(NULL, sizeof *lag_ns, PROT_READ, MAP_SHARED, file, 0);
     close(file);
     if (page != MAP_FAILED)
-        held_ns = page;
+        lag_ns = page;
 }
 
-static int is_steady(clockid_t clock)
+static int is_monotonic(clockid_t clock)
 {
     return clock == CLOCK_MONOTONIC || clock == CLOCK_MONOTONIC_COARSE ||
            clock == CLOCK_MONOTONIC_RAW;
@@ -34,9 +34,9 @@
 int clock_gettime(clockid_t clock, struct timespec *time)
 {
     int result = (int)syscall(SYS_clock_gettime, clock, time);
-    if (result || !held_ns || !is_steady(clock))
+    if (result || !lag_ns || !is_monotonic(clock))
         return result;
-    uint64_t now = (uint64_t)time->tv_sec * NANOSECONDS + (uint64_t)time->tv_nsec - *held_ns;
+    uint64_t now = (uint64_t)time->tv_sec * NANOSECONDS + (uint64_t)time->tv_nsec - *lag_ns;
     time->tv_sec = (time_t)(now / NANOSECONDS);
     time->tv_nsec = (long)(now % NANOSECONDS);
     return 0;
