--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -1,18 +1,20 @@
 /**
- * Stand-in of a model engine: continuous batching, a token rate, fenced load orders, priorities,
- * streams that can be cancelled and resumed, a bounded prefix cache, lagging load reports, and
- * cache events that come late and with gaps.
+ * Stand-in for a model engine: continuous batching at a fixed token rate, fenced load orders,
+ * request priorities, streams that can be cancelled and resumed, a bounded prefix cache, delayed
+ * load reports, and cache events that are delayed and partly lost.
  *
  * POST /v1/load       {"model", "version", "digest", "source", "expires_ms", "fence": {...}}:
- *                     pulls manifest and chunks from the source and checks every digest
+ *                     downloads manifest and chunks from the source and verifies each digest
  * GET  /v1/status     {"models": [{"model", "version", "digest"}]}
  * POST /v1/generate   {"prompt", "max_tokens"} with X-Model, X-Digest, X-Offset, X-Priority:
- *                     lines {"i", "t"}, then {"end": "done", "tokens"}
- * GET  /v1/load-report   queue and batch, as they were --report-lag-ms ago
- * GET  /v1/events?after=N  cache events, late and with gaps
- * GET  /admin/stats   generated, cancelled, mixed
+ *                     one line {"i", "t"} a token, then {"end": "done", "tokens"}
+ * GET  /v1/load-report   queue and batch sizes, up to --report-lag-ms old
+ * GET  /v1/events?after=N  cache events after number N, delayed and with gaps
+ * GET  /admin/stats   {"generated", "cancelled", "streams"}: tokens and streams so far, open
+ * streams
  *
- * Token i of an answer is a function of (digest, prompt, i), so that a caller can check it whole.
+ * Token i of an answer is a function of (digest, prompt, i), so that a caller can verify all
+ * tokens.
  */
 #include "standin/standin.h"
 
@@ -42,14 +44,14 @@
 
 struct stream {
     struct engine *engine;
-    uint64_t seed;      /* of the tokens */
-    uint64_t next;      /* token that the batch makes next */
-    uint64_t available; /* tokens made */
-    uint64_t formatted; /* tokens written to the connection */
+    uint64_t seed;      /* of the token sequence */
+    uint64_t next;      /* index of the token to generate next */
+    uint64_t available; /* tokens generated */
+    uint64_t formatted; /* tokens formatted into `line` */
     uint64_t count;
-    uint32_t prefill; /* steps before the first token */
+    uint32_t prefill; /* batch steps left before the first token */
     unsigned priority;
-    uint64_t arrival;
+    uint64_t arrival; /* sequence number, for first-come order */
     bool running;
     bool closed;
     char line[160];
@@ -60,7 +62,7 @@
 
 struct cache_event {
     uint64_t prefix;
-    bool stored; /* else evicted */
+    bool stored; /* false: evicted */
     uint64_t visible_at_us;
 };
 
@@ -72,11 +74,11 @@
     unsigned long long fence[3];
     struct stream *streams[MAX_STREAMS];
     uint32_t stream_count;
-    uint64_t cached_prefixes[MAX_CACHED]; /* prefixes, oldest first */
+    uint64_t cached_prefixes[MAX_CACHED]; /* prefix hashes, least recently used first */
     uint32_t cached_count;
-    struct cache_event events[MAX_EVENTS]; /* event N is at N % MAX_EVENTS */
+    struct cache_event events[MAX_EVENTS]; /* ring buffer: event N is at N % MAX_EVENTS */
     uint64_t event_count;
-    uint64_t report[2]; /* queue and batch */
+    uint64_t report[2]; /* queue length, batch size */
     uint64_t next_report_us;
     uint64_t arrivals;
     uint64_t generated;
@@ -88,7 +90,7 @@
     uint64_t prefill_steps;
     uint64_t report_lag_ms;
     uint64_t event_lag_ms;
-    uint64_t event_gap; /* every so many events one is lost; 0: none */
+    uint64_t event_gap; /* every Nth event is lost; 0: none */
     uint64_t checks_fences;
     uint64_t load_ms;
 };
@@ -137,7 +139,8 @@
     return true;
 }
 
-/* \return what is wrong, or NULL when every chunk of one manifest is there */
+/* \return an error message, or NULL when the manifest and all its chunks were downloaded and
+ * verified */
 static const char *fetch_version(const char *source, const char *hex, struct manifest *manifest)
 {
     struct digest expected;
@@ -151,16 +154,16 @@
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_received);
     if (digest_from_hex(hex, &expected) != STATUS_OK || !fetch_blob(easy, source, hex, &buffer) ||
         manifest_parse(buffer.data, buffer.size, &expected, manifest) != STATUS_OK)
-        problem = "the manifest cannot be had";
+        problem = "the manifest cannot be downloaded or is invalid";
     else if (!fetch_chunks(easy, source, manifest, &buffer))
-        problem = "a chunk is missing or wrong";
+        problem = "a chunk cannot be downloaded or is corrupt";
     curl_easy_cleanup(easy);
     curl_slist_free_all(headers);
     free(buffer.data);
     return problem;
 }
 
-/* Lock held. Orders of an older (revision, incarnation, sequence) are refused. */
+/* Refuses orders with an older (revision, incarnation, sequence). Lock held. */
 static bool accept_fence(struct engine *engine, const json_t *fence)
 {
     unsigned long long order[3] = {
@@ -207,7 +210,7 @@
     bool current = accept_fence(engine, fence);
     pthread_mutex_unlock(&engine->lock);
     if (!current)
-        return "the fence is old";
+        return "the fence is stale";
     const char *problem = fetch_version(source, digest, &manifest);
     if (problem)
         return problem;
@@ -249,14 +252,14 @@
 
 /* ---- prefix cache ---- */
 
-/* Lock held. */
+/* Becomes visible after the configured lag. Lock held. */
 static void record_cache_event(struct engine *engine, uint64_t prefix, bool stored)
 {
     struct cache_event *event = &engine->events[engine->event_count++ % MAX_EVENTS];
     *event = (struct cache_event){prefix, stored, standin_now_us() + engine->event_lag_ms * 1000};
 }
 
-/* Lock held. \return whether the prefix was there */
+/* Makes a prefix the most recently used one. Lock held. \return whether it was cached */
 static bool cache_prefix(struct engine *engine, uint64_t prefix)
 {
     uint32_t index = 0;
@@ -309,7 +312,7 @@
     return running;
 }
 
-/* Admit waiting streams into the batch: higher priority first, then by arrival. Lock held. */
+/* Admits waiting streams to the batch by priority, then in order of arrival. Lock held. */
 static void admit_streams(struct engine *engine)
 {
     while (count_running(engine) < engine->batch) {
@@ -329,7 +332,7 @@
     }
 }
 
-/* One token for each stream of the batch. Lock held. */
+/* Runs one step: one token, or one prefill step, for each stream of the batch. Lock held. */
 static void step_batch(struct engine *engine)
 {
     for (uint32_t i = 0; i < engine->stream_count; i++) {
@@ -483,7 +486,7 @@
     uint64_t waiting = engine->stream_count - count_running(engine);
     struct stream *stream = NULL;
     if (!loaded_model)
-        refuse(reply, 409, "that version is not loaded");
+        refuse(reply, 409, "the version is not loaded");
     else if (waiting >= engine->queue_limit || engine->stream_count == MAX_STREAMS)
         refuse(reply, 503, "the queue is full");
     else
@@ -537,7 +540,7 @@
     else if (standin_matches(request, "GET", "/v1/events"))
         handle_events(engine, request, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
 }
 
 int engine_main(int argc, char **argv)
@@ -556,20 +559,21 @@
         .checks_fences = 1,
     };
     const struct standin_option extra[] = {
-        {"batch", &engine.batch, "streams that make tokens at once"},
-        {"step-us", &engine.step_us, "time of one step: one token for each stream of the batch"},
-        {"queue-limit", &engine.queue_limit, "streams that may wait"},
-        {"cache-entries", &engine.cache_entries, "prefixes kept, 1 to 256"},
+        {"batch", &engine.batch, "streams that generate tokens concurrently"},
+        {"step-us", &engine.step_us,
+         "duration of one step: one token for each stream of the batch"},
+        {"queue-limit", &engine.queue_limit, "streams that may be queued"},
+        {"cache-entries", &engine.cache_entries, "capacity of the prefix cache, 1 to 256"},
         {"prefill-steps", &engine.prefill_steps, "steps before the first token on a cache miss"},
-        {"report-lag-ms", &engine.report_lag_ms, "age of load reports"},
-        {"event-lag-ms", &engine.event_lag_ms, "age of cache events"},
-        {"event-gap", &engine.event_gap, "every so many cache events one is lost"},
-        {"checks-fences", &engine.checks_fences, "1: refuse orders with an old fence"},
-        {"load-ms", &engine.load_ms, "time to load a version once its chunks are there"},
+        {"report-lag-ms", &engine.report_lag_ms, "refresh interval of load reports"},
+        {"event-lag-ms", &engine.event_lag_ms, "delay of cache events"},
+        {"event-gap", &engine.event_gap, "every Nth cache event is lost, 0: none"},
+        {"checks-fences", &engine.checks_fences, "1: refuse load orders with a stale fence"},
+        {"load-ms", &engine.load_ms, "time to load a version after its chunks are downloaded"},
         {NULL, NULL, NULL}};
     struct standin_options options;
     pthread_t batches;
-    standin_parse_options(argc, argv, "Stand-in of a model engine.", &options, extra);
+    standin_parse_options(argc, argv, "Stand-in for a model engine.", &options, extra);
     if (engine.cache_entries < 1 || engine.cache_entries > MAX_CACHED)
         engine.cache_entries = MAX_CACHED;
     curl_global_init(CURL_GLOBAL_DEFAULT);
--- a/src/standin/link.c
+++ b/src/standin/link.c
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a network link: a TCP relay that can be told to stall without closing (SIGUSR1 turns
- * that on and off) or to cut (SIGUSR2 closes all connections and turns refusal on and off).
+ * Stand-in for a network link: a TCP relay. SIGUSR1 toggles a stall, in which connections stay open
+ * and transfer nothing. SIGUSR2 toggles a cut, which closes all connections and each new one.
  */
 #include "standin/standin.h"
 
@@ -43,7 +43,7 @@
     return true;
 }
 
-/* \return false when the connection ended */
+/* \return false when either connection has ended */
 static bool forward_bytes(int from, int to, char *buffer)
 {
     ssize_t size = read(from, buffer, BUFFER_SIZE);
@@ -104,9 +104,9 @@
     struct standin_options options;
     uint64_t target_port = 0;
     const struct standin_option extra[] = {
-        {"target-port", &target_port, "port of the same address to which bytes go"},
+        {"target-port", &target_port, "port, at the same address, that connections are relayed to"},
         {NULL, NULL, NULL}};
-    standin_parse_options(argc, argv, "Stand-in of a network link.", &options, extra);
+    standin_parse_options(argc, argv, "Stand-in for a network link.", &options, extra);
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)options.port)};
     inet_pton(AF_INET, options.address, &address.sin_addr);
     struct sockaddr_in target = address;
--- a/src/standin/origin.c
+++ b/src/standin/origin.c
@@ -1,9 +1,11 @@
 /**
- * Stand-in of the origin and the rate-limited weight store.
+ * Stand-in for the origin, the rate-limited weight store.
  *
- * GET  /v1/blobs/DIGEST    bytes at the link's rate; 429 with Retry-After past --max-readers
- * POST /admin/model        {"model", "version", "bytes", "chunk_bytes", "seed", "shared"}: make
- * one; its first `shared` chunks are those of seed 0 GET  /admin/stats        bytes by reader
+ * GET  /v1/blobs/DIGEST    a manifest or chunk at the rate of the link; 429 with Retry-After when
+ *                          --max-readers are being served
+ * POST /admin/model        {"model", "version", "bytes", "chunk_bytes", "seed", "shared"}:
+ * generates a model whose first `shared` chunks are those of seed 0 GET  /admin/stats        bytes
+ * sent by kind and by reader, refused reads
  */
 #include "standin/standin.h"
 
@@ -28,15 +30,15 @@
     pthread_mutex_t lock;
     struct stored_blob *blobs;
     uint32_t blob_count;
-    json_t *readers; /* name to bytes */
+    json_t *readers; /* reader name -> bytes sent */
     uint64_t chunk_bytes_sent;
     uint64_t manifest_bytes_sent;
     uint64_t bytes_per_second;
     uint64_t max_readers;
     uint64_t active_readers;
     uint64_t refused;
-    uint64_t link_free_at_us; /* the link is busy until then */
-    uint64_t corrupt_every;   /* with the fault `corrupt`: every so many reads */
+    uint64_t link_free_at_us; /* end of the last transfer scheduled on the link */
+    uint64_t corrupt_every;   /* with the fault `corrupt`: every Nth read */
     uint64_t reads;
 };
 
@@ -51,7 +53,7 @@
 
 /* ---- reading ---- */
 
-/* Take a turn on the link; returns when the block's last byte is through. */
+/* Schedules a block on the shared link; returns when its last byte has been transferred. */
 static void wait_for_link(struct origin *origin, size_t size)
 {
     pthread_mutex_lock(&origin->lock);
@@ -153,7 +155,7 @@
     reply->context = blob_read;
 }
 
-/* ---- making a model ---- */
+/* ---- model generation ---- */
 
 static struct digest add_blob(struct origin *origin, const void *data, size_t size)
 {
@@ -174,7 +176,7 @@
         uint64_t word = random_next(&random);
         memcpy(data + i, &word, sizeof word);
     }
-    data[0] = 0; /* only a manifest begins with a brace */
+    data[0] = 0; /* never a brace: serve_blob() recognizes manifests by it */
     struct digest digest = add_blob(origin, data, size);
     free(data);
     return digest;
@@ -195,7 +197,8 @@
                     &shared) != 0 ||
         bytes <= 0 || chunk_bytes <= 0) {
         json_decref(body);
-        standin_reply_json(reply, 400, json_pack("{s:s}", "error", "a field is missing"));
+        standin_reply_json(reply, 400,
+                           json_pack("{s:s}", "error", "a field is missing or invalid"));
         return;
     }
     json_t *chunks = json_array();
@@ -246,7 +249,7 @@
     else if ((hex = standin_path_suffix(request, "GET", "/v1/blobs/")))
         serve_blob(origin, request, hex, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
 }
 
 int origin_main(int argc, char **argv)
@@ -258,12 +261,13 @@
         .corrupt_every = 5,
     };
     const struct standin_option extra[] = {
-        {"bytes-per-second", &origin.bytes_per_second, "rate of the origin's link"},
-        {"max-readers", &origin.max_readers, "blobs read at once"},
-        {"corrupt-every", &origin.corrupt_every, "with the fault `corrupt`: every so many reads"},
+        {"bytes-per-second", &origin.bytes_per_second, "bandwidth of the origin's link"},
+        {"max-readers", &origin.max_readers, "blobs served concurrently"},
+        {"corrupt-every", &origin.corrupt_every,
+         "with the fault `corrupt`, every Nth read is corrupt"},
         {NULL, NULL, NULL}};
     struct standin_options options;
-    standin_parse_options(argc, argv, "Stand-in of the origin of weights.", &options, extra);
+    standin_parse_options(argc, argv, "Stand-in for the origin of weights.", &options, extra);
     origin.blobs = memory_zero(MAX_BLOBS, sizeof *origin.blobs);
     origin.readers = json_object();
     return standin_serve(&options, handle, &origin);
--- a/src/standin/service.c
+++ b/src/standin/service.c
@@ -1,10 +1,11 @@
 /**
- * Stand-in of a plain service whose calls may not repeat, such as seat holds.
+ * Stand-in for a plain service whose calls are not idempotent, such as seat reservations.
  *
- * POST /v1/call      runs the call: counts it under X-Request-Key, answers after --work-ms
- * GET  /admin/runs   {"total", "keys": {key: runs}, "bodies": {"id": runs}}
+ * POST /v1/call      executes the call: counts it by X-Request-Key and by the `id` of its body, and
+ *                    answers after --work-ms
+ * GET  /admin/runs   {"total", "fenced", "keys": {key: runs}, "bodies": {id: runs}}
  *
- * With --checks-fences 1 it refuses a call whose X-Fence incarnation is older than the newest seen.
+ * With --checks-fences 1 it refuses a call whose X-Fence has an older incarnation than one before.
  */
 #include "standin/standin.h"
 
@@ -28,7 +29,7 @@
     json_object_set_new(counts, name, json_integer(runs + 1));
 }
 
-/* Lock held. */
+/* Records the incarnation unless it is older. Lock held. */
 static bool fence_is_stale(struct service *service, const struct standin_request *request)
 {
     unsigned long long revision = 0;
@@ -72,7 +73,7 @@
         standin_reply_json(
             reply, 200, json_pack("{s:I, s:s}", "number", (json_int_t)number, "id", id ? id : ""));
     } else {
-        standin_reply_json(reply, 409, json_pack("{s:s}", "error", "the fence is old"));
+        standin_reply_json(reply, 409, json_pack("{s:s}", "error", "the fence is stale"));
         reply->headers[0][0] = "X-Note";
         reply->headers[0][1] = "not-run";
     }
@@ -102,18 +103,18 @@
     else if (standin_matches(request, "POST", "/v1/call"))
         handle_call(service, request, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
 }
 
 int service_main(int argc, char **argv)
 {
     struct service service = {.lock = PTHREAD_MUTEX_INITIALIZER, .work_ms = 5, .checks_fences = 1};
     const struct standin_option extra[] = {
-        {"work-ms", &service.work_ms, "time that a call takes"},
-        {"checks-fences", &service.checks_fences, "1: refuse calls with an old fence"},
+        {"work-ms", &service.work_ms, "duration of a call"},
+        {"checks-fences", &service.checks_fences, "1: refuse calls with a stale fence"},
         {NULL, NULL, NULL}};
     struct standin_options options;
-    standin_parse_options(argc, argv, "Stand-in of a plain service.", &options, extra);
+    standin_parse_options(argc, argv, "Stand-in for a plain service.", &options, extra);
     service.runs_by_key = json_object();
     service.runs_by_body = json_object();
     return standin_serve(&options, handle, &service);
--- a/src/standin/standin.c
+++ b/src/standin/standin.c
@@ -203,7 +203,7 @@
 {
     if (!reply->status) {
         free(reply->body);
-        return MHD_NO; /* close without an answer */
+        return MHD_NO; /* close the connection without an answer */
     }
     struct MHD_Response *response = make_response(reply);
     for (int i = 0; i < STANDIN_MAX_HEADERS && reply->headers[i][0]; i++)
@@ -272,5 +272,5 @@
         return 1;
     }
     sigwait(&signals, &number);
-    _exit(0); /* handlers may be asleep; a stand-in has nothing to save */
+    _exit(0); /* handler threads may be blocked, and a stand-in has no state to save */
 }
--- a/src/standin/standin_main.c
+++ b/src/standin/standin_main.c
@@ -1,5 +1,5 @@
 /**
- * Binary of the stand-ins; not part of the product.
+ * Entry point of the program shuntrun-standin, which runs one stand-in; not part of the product.
  */
 #include "standin/standin.h"
 
--- a/src/standin/values.c
+++ b/src/standin/values.c
@@ -1,10 +1,10 @@
 /**
- * Stand-in of the configuration service and of the machine list: values with revisions that can be
- * read and watched only.
+ * Stand-in for the configuration service and the machine list: values with revisions, which clients
+ * can read and watch (by long polling) but not write.
  *
- * GET  /v1/values/KEY?after=R&wait_ms=W   200 {"revision", "value"} | 204 nothing newer | 429
- * POST /admin/publish/KEY                 body is the value; {"revision"}
- * GET  /admin/stats                       calls, refused calls, waiting watches
+ * GET  /v1/values/KEY?after=R&wait_ms=W   200 {"revision", "value"}; 204: no revision above R; 429
+ * POST /admin/publish/KEY                 the body is the value; answers {"revision"}
+ * GET  /admin/stats                       calls, refused calls, waiting long polls, peak rate
  */
 #include "standin/standin.h"
 
@@ -22,12 +22,12 @@
 struct version {
     char *text;
     size_t size;
-    uint64_t visible_at_us; /* publications show up after the lag */
+    uint64_t visible_at_us; /* publication time plus the lag */
 };
 
 struct value {
     char key[64];
-    struct version versions[MAX_VERSIONS]; /* revision N is at N - 1 */
+    struct version versions[MAX_VERSIONS]; /* revision N is at index N - 1 */
     uint32_t count;
 };
 
@@ -43,7 +43,8 @@
     uint64_t refused;
     uint64_t waiting;
     uint64_t peak_calls_per_second;
-    uint32_t frozen_revisions[MAX_KEYS]; /* revisions served while stale; 0: not frozen */
+    uint32_t
+        frozen_revisions[MAX_KEYS]; /* by key: revision served with the fault `stale`; 0: none */
 };
 
 static int find_key(struct values *values, const char *key, bool create)
@@ -59,7 +60,7 @@
     return (int)values->key_count++;
 }
 
-/* Lock held. */
+/* Counts a call against the rate limit. Lock held. \return false when it is refused */
 static bool admit_call(struct values *values)
 {
     uint64_t now = standin_now_us();
@@ -76,7 +77,7 @@
     return false;
 }
 
-/* Newest revision that readers see. Lock held. */
+/* Newest revision that readers see; with the fault `stale`, the one before it. Lock held. */
 static uint32_t visible_revision(struct values *values, int key)
 {
     const struct value *value = values->keys[key];
@@ -122,7 +123,7 @@
     }
     values->waiting--;
     uint32_t revision = key < 0 ? 0 : visible_revision(values, key);
-    /* A stale replica answers with what it has, even when the reader knows better. */
+    /* A stale replica answers with its revision even when the reader has a newer one. */
     bool answers = revision > after || (standin_fault() == FAULT_STALE && revision);
     if (answers)
         reply_version(values->keys[key], revision, reply);
@@ -138,7 +139,10 @@
     int key = find_key(values, name, true);
     if (key < 0 || values->keys[key]->count == MAX_VERSIONS || request->size > MAX_VALUE_BYTES) {
         pthread_mutex_unlock(&values->lock);
-        standin_reply_json(reply, 413, json_pack("{s:s}", "error", "too large or too many"));
+        standin_reply_json(
+            reply, 413,
+            json_pack("{s:s}", "error",
+                      "the value is too large, or there are too many keys or revisions"));
         return;
     }
     struct value *value = values->keys[key];
@@ -167,7 +171,7 @@
     } else if ((key = standin_path_suffix(request, "GET", "/v1/values/"))) {
         read_value(values, request, key, reply);
     } else {
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
     }
 }
 
@@ -175,11 +179,13 @@
 {
     struct values values = {.lock = PTHREAD_MUTEX_INITIALIZER, .calls_per_second = 2000};
     const struct standin_option extra[] = {
-        {"calls-per-second", &values.calls_per_second, "calls allowed, a waiting watch as one"},
-        {"lag-ms", &values.lag_ms, "time until a publication is seen"},
+        {"calls-per-second", &values.calls_per_second,
+         "rate limit; a waiting long poll counts as one call"},
+        {"lag-ms", &values.lag_ms, "delay until a published value is visible"},
         {NULL, NULL, NULL}};
     struct standin_options options;
-    standin_parse_options(argc, argv, "Stand-in of the configuration service and the machine list.",
-                          &options, extra);
+    standin_parse_options(argc, argv,
+                          "Stand-in for the configuration service and the machine list.", &options,
+                          extra);
     return standin_serve(&options, handle, &values);
 }
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,6 +1,6 @@
 /**
- * One decoder of outside bytes for each fuzz target. A target is a libFuzzer entry point; without
- * libFuzzer, fuzz_driver.c runs it over seeded mutations of its corpus.
+ * Interface of the fuzz targets. Each target is a libFuzzer entry point for one kind of untrusted
+ * input; without libFuzzer, fuzz_driver.c runs it on seeded mutations of its corpus.
  */
 #ifndef SHUNTRUN_FUZZ_H
 #define SHUNTRUN_FUZZ_H
@@ -10,7 +10,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/** Valid inputs to start from, ended by NULL. */
+/** Valid inputs to mutate, ended by NULL. */
 extern const char *const fuzz_corpus[];
 
 #endif
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -1,3 +1,4 @@
+/* Fleet configurations, and the policy program that they contain. */
 #include "fuzz/fuzz.h"
 
 #include "core/fleet_config.h"
--- a/tests/fuzz/fuzz_driver.c
+++ b/tests/fuzz/fuzz_driver.c
@@ -1,5 +1,5 @@
 /**
- * Seeded stand-in for libFuzzer: mutates the corpus of a target a fixed number of times.
+ * Replacement for libFuzzer: runs a target on a fixed number of seeded mutations of its corpus.
  */
 #include "fuzz/fuzz.h"
 
@@ -23,11 +23,11 @@
             if (at < size)
                 data[at] ^= (uint8_t)(1U << random_below(random, 8));
             break;
-        case 1: /* any byte */
+        case 1: /* replace a byte */
             if (at < size)
                 data[at] = (uint8_t)random_below(random, 256);
             break;
-        case 2: /* cut off */
+        case 2: /* truncate */
             size = at;
             break;
         case 3: /* insert */
@@ -37,7 +37,7 @@
                 size++;
             }
             break;
-        default: /* repeat a piece */
+        default: /* duplicate the tail */
             if (at < size && size + (size - at) <= MAX_SIZE) {
                 memcpy(data + size, data + at, size - at);
                 size += size - at;
@@ -61,7 +61,8 @@
         uint8_t *data = memory_zero(MAX_SIZE + 1, 1);
         memcpy(data, start, size);
         size = mutate(&random, data, size);
-        uint8_t *exact = memory_copy(data, size); /* so that a sanitizer sees reads past the end */
+        uint8_t *exact =
+            memory_copy(data, size); /* exact size: a sanitizer reports reads past the end */
         LLVMFuzzerTestOneInput(exact, size);
         free(exact);
         free(data);
--- a/tests/fuzz/fuzz_fleet.c
+++ b/tests/fuzz/fuzz_fleet.c
@@ -1,3 +1,4 @@
+/* Machine lists, manifests and tickets. */
 #include "fuzz/fuzz.h"
 
 #include "core/fleet.h"
--- a/tests/fuzz/fuzz_message.c
+++ b/tests/fuzz/fuzz_message.c
@@ -1,4 +1,5 @@
-/* A control message from anybody, through the unpacker into a node, an executor and a router. */
+/* Control messages from untrusted senders: decoded, then handled by a node, an executor and a
+ * router. */
 #include "fuzz/fuzz.h"
 
 #include "core/executor.h"
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -1,4 +1,4 @@
-/* What the platform's store, engines and origin say, through every decoder of platform/. */
+/* Documents from the platform's store, engines and origin, through every decoder of platform/. */
 #include "fuzz/fuzz.h"
 
 #include "platform/platform.h"
--- a/tests/fuzz/fuzz_policy.c
+++ b/tests/fuzz/fuzz_policy.c
@@ -1,3 +1,4 @@
+/* Policy programs (Lua): compiled, and each hook called once. */
 #include "fuzz/fuzz.h"
 
 #include "base/memory.h"
--- a/tests/system/held_clock.c
+++ b/tests/system/held_clock.c
@@ -1,6 +1,6 @@
-/* Preloaded into a process by tests: its steady clock stands still while the test says that the
- * machine is suspended. The file that SHUNTRUN_TEST_HELD_CLOCK names holds the nanoseconds, a
- * uint64_t of the machine's byte order, by which the steady clock is behind. */
+/* Preloaded (LD_PRELOAD) into a process under test to emulate a suspended machine, whose monotonic
+ * clock does not advance. The file named by SHUNTRUN_TEST_HELD_CLOCK holds the nanoseconds by which
+ * the monotonic clock lags, a uint64_t in host byte order. */
 #include <fcntl.h>
 #include <stdint.h>
 #include <stdlib.h>
--- a/tests/testing.h
+++ b/tests/testing.h
@@ -1,5 +1,5 @@
 /**
- * What every test program includes, in the order that cmocka needs.
+ * Included by every test program: cmocka and its prerequisites, in the order that it needs.
  */
 #ifndef SHUNTRUN_TESTING_H
 #define SHUNTRUN_TESTING_H
