--- a/tests/system/crash_test.py
+++ b/tests/system/crash_test.py
@@ -24,11 +24,11 @@
 import platform_test as platform  # noqa: E402
 import streams_test as streams  # noqa: E402
 
-CONTACT_S = 3.0  # what others know is known everywhere after this
-EVIDENCE = 3     # ended engines after which a request is not run any more
-ENDED_MOST = 6   # engines that one request may end: the evidence, and what was on its way
+BLOCK_SPREAD_S = 3.0  # what others know is known everywhere after this
+CRASHES_TO_BLOCK = 3     # ended engines after which a request is not run any more
+MAX_CRASHES_PER_REQUEST = 6   # engines that one request may end: the evidence, and what was on its way
 REPEAT_S = 0.2
-SERVES_ON_S = 2.0  # for which the platform promises that an engine serves after it said that it leaves
+SERVING_AFTER_LEAVE_S = 2.0  # for which the platform promises that an engine serves after it said that it leaves
 REASON = b"several back ends ended"  # in the answer to such a request
 PLAY_S = 8.0
 
@@ -36,25 +36,25 @@
 class CrashingCaller(threading.Thread):
     """A caller whose request crashes engines, and comes again at any gateway, under new ids."""
 
-    def __init__(self, name, addresses, over):
+    def __init__(self, name, addresses, stop_requested):
         super().__init__(daemon=True)
         self.body = name.encode()
         self.path = "/stream/%s?events=5" % name
-        self.addresses, self.over = addresses, over
-        self.chance = random.Random(name)
+        self.addresses, self.stop_requested = addresses, stop_requested
+        self.rng = random.Random(name)
         self.count = 0
         self.answers = []
 
     def run(self):
-        while not self.over.is_set():
+        while not self.stop_requested.is_set():
             self.count += 1
             threading.Thread(target=self.send, args=("%s-%d" % (self.body.decode(), self.count),),
                              daemon=True).start()
             time.sleep(REPEAT_S)
 
     def send(self, identity):
-        address = self.chance.choice(self.addresses)
-        connection = http.client.HTTPConnection(address, platform.FRONT, timeout=10)
+        address = self.rng.choice(self.addresses)
+        connection = http.client.HTTPConnection(address, platform.CLIENT_PORT, timeout=10)
         try:
             connection.request("POST", self.path, self.body, {
                 "Host": "a.example", "Shuntrun-Request-Id": identity,
@@ -77,20 +77,20 @@
     CLIENTS = 40
     CRASHING = 2
 
-    def read_stream(self, client, number, chance):
-        reader = streams.Reader("i%03d-%04d" % (client, number), chance.randint(5, 25),
-                                self.gateway(chance.randrange(self.GATEWAYS)))
+    def read_stream(self, client, number, rng):
+        reader = streams.Reader("i%03d-%04d" % (client, number), rng.randint(5, 25),
+                                self.gateway(rng.randrange(self.GATEWAYS)))
         reader.join()
         return reader
 
     def play(self, seconds):
         """Clients read streams while the requests that crash engines come again and again."""
-        self.begin_clients(self.CLIENTS, self.read_stream)
+        self.start_clients(self.CLIENTS, self.read_stream)
         addresses = [self.gateway(n) for n in range(self.GATEWAYS)]
-        crashing = [CrashingCaller("crashing-%d" % n, addresses, self.over)
+        crashing = [CrashingCaller("crashing-%d" % n, addresses, self.stop_requested)
                     for n in range(self.CRASHING)]
         for engine in self.engines:
-            engine.back_after_s = 1.5
+            engine.restart_delay_s = 1.5
             engine.crashing_bodies = {caller.body for caller in crashing}
         for caller in crashing:
             caller.start()
@@ -100,7 +100,7 @@
             caller.join()
         return crashing
 
-    def ends_under(self, body):
+    def crash_times_of(self, body):
         """Times at which an engine ended while it ran the request."""
         return sorted(when for engine in self.engines for bodies, when in engine.crashes
                       if body in bodies)
@@ -119,10 +119,10 @@
 
     def test_it_is_stopped_and_no_other_with_it(self):
         for caller in self.play(PLAY_S):
-            ends = self.ends_under(caller.body)
-            self.assertGreaterEqual(len(ends), EVIDENCE, "the request did its harm")
-            self.assertLessEqual(len(ends), ENDED_MOST, "engines ended under one request")
-            self.assertEqual(self.sends_after(caller.body, ends[EVIDENCE - 1] + CONTACT_S), [])
+            ends = self.crash_times_of(caller.body)
+            self.assertGreaterEqual(len(ends), CRASHES_TO_BLOCK, "the request did its harm")
+            self.assertLessEqual(len(ends), MAX_CRASHES_PER_REQUEST, "engines ended under one request")
+            self.assertEqual(self.sends_after(caller.body, ends[CRASHES_TO_BLOCK - 1] + BLOCK_SPREAD_S), [])
             self.assert_refused(caller.answers[-1])
         refused_for_good = [r.identity for r in self.read
                             if r.status == 503 and r.headers.get("Retry-After") is None]
@@ -138,7 +138,7 @@
 
     def suspects(self, number, *arguments):
         return subprocess.run([os.path.join(platform.OPTIONS.build, "shuntrun"), "suspects",
-                               "%s:%d" % (self.gateway(number), platform.METRICS)] + list(arguments),
+                               "%s:%d" % (self.gateway(number), platform.METRICS_PORT)] + list(arguments),
                               stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=10)
 
     def blocked(self, number):
@@ -149,13 +149,13 @@
         caller = self.play(4.0)[0]
         platform.wait_for(lambda: self.blocked(0) and self.blocked(self.OTHER), "known everywhere")
         identity = self.blocked(0)[0]
-        ends = len(self.ends_under(caller.body))
+        ends = len(self.crash_times_of(caller.body))
         self.assertIn(identity, self.suspects(self.OTHER).stdout)
         lifted = self.suspects(self.OTHER, "--lift", identity)
         self.assertEqual((lifted.returncode, lifted.stdout), (0, "lifted\n"))
         platform.wait_for(lambda: not self.blocked(0), "the lift at another gateway")
         caller.send("after-the-lift")
-        self.assertGreater(len(self.ends_under(caller.body)), ends, "it runs again")
+        self.assertGreater(len(self.crash_times_of(caller.body)), ends, "it runs again")
 
     def test_what_is_not_held_cannot_be_lifted(self):
         unknown = self.suspects(0, "--lift", "00" * 16)
@@ -183,7 +183,7 @@
         readers = [streams.Reader("planned-%d" % n, 100) for n in range(8)]
         platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams under way")
         engine = self.engine_of(readers[0].identity)
-        engine.say_leaving()
+        engine.announce_leaving()
         # An answer tells the gateway, or the engine's report to its loader does.
         platform.wait_for(lambda: platform.metric("shuntrun_backends_leaving_total") == 1, "news")
         time.sleep(after_s)
@@ -194,7 +194,7 @@
 
     def test_an_engine_that_said_that_it_leaves_ends_as_planned(self):
         """What ran there is under no suspicion, though the list does not say yet that it leaves."""
-        self.end_a_leaving_engine(SERVES_ON_S)
+        self.end_a_leaving_engine(SERVING_AFTER_LEAVE_S)
         platform.wait_for(lambda: self.end_is_known(planned=True), "the end, known as planned")
         self.assertEqual(platform.metric("shuntrun_backend_crashes_total"), 0)
         self.assertEqual(platform.metric("shuntrun_crash_suspects"), 0)
@@ -216,7 +216,7 @@
 
     def end_in_turn(self, end, events=40):
         """Its route allows two attempts, but an engine that ended is not the stream's fault."""
-        reader, engine = self.read_from("outlives", events)
+        reader, engine = self.start_reading("outlives", events)
         for runs in (2, 3):
             time.sleep(0.3)
             end(engine)
@@ -229,8 +229,8 @@
 
     def test_a_stream_outlives_engines_that_leave_and_end(self):
         def leave_and_end(engine):
-            engine.say_leaving()
-            time.sleep(SERVES_ON_S + 0.1)  # its report to its loader, each 60 ms, says so
+            engine.announce_leaving()
+            time.sleep(SERVING_AFTER_LEAVE_S + 0.1)  # its report to its loader, each 60 ms, says so
             engine.crash()
         self.end_in_turn(leave_and_end, events=108)
         self.assertEqual(platform.metric("shuntrun_backend_crashes_total"), 0)
@@ -238,16 +238,16 @@
     def test_a_stream_outlives_engines_that_start_again_at_once(self):
         """The next start accepts connections before anybody asks whether the last one ended: a stream
         was cut 18 ms after the second end, though the list had named the new start 15 ms before."""
-        reader, engine = self.read_from("restarts", 40)
+        reader, engine = self.start_reading("restarts", 40)
         for runs in (2, 3):
             time.sleep(0.3)
             engine.crash()
-            self.engines[self.engines.index(engine)] = self.start_again(engine)
+            self.engines[self.engines.index(engine)] = self.restart_backend(engine)
             platform.wait_for(lambda: self.runs("restarts") == runs, "the next run")
             engine = self.running_engine(engine)
         self.assert_whole(reader)
 
-    def start_again(self, engine):
+    def restart_backend(self, engine):
         """A new start under the same id; what ran at the last one counts on."""
         start = standin.Backend(engine.address, engine.identity, self.store, "llm")
         start.event_gap_s, start.slots, start.load_s = engine.event_gap_s, engine.slots, engine.load_s
--- a/tests/system/leaving_test.py
+++ b/tests/system/leaving_test.py
@@ -54,7 +54,7 @@
             gateway.stop()
         for gateway in gateways:
             gateway.start()
-        platform.wait_for(lambda: all(platform.get(gateway.address, platform.READY,
+        platform.wait_for(lambda: all(platform.get(gateway.address, platform.READY_PORT,
                                                    "/api/readiness")[0] == 200
                                       for gateway in gateways), "ready gateways")
 
@@ -85,7 +85,7 @@
         """The engine's entry of a moment before it said that it leaves is written after that one. Each entry
         replaced the one before, whichever was newer: the engine got 8 and 6 of 40 streams."""
         left = self.engines[0]
-        left.list("draining")
+        left.publish_entry("draining")
         time.sleep(0.5)
         left.write_entry("ready", left.sequence - 1)
         time.sleep(DRAIN_S + 0.5)
@@ -98,13 +98,13 @@
     def test_a_request_of_a_gateway_that_was_killed_arrives_no_more(self):
         """The kernel goes on sending what a process wrote, also when that one is gone: the back end got all
         30,225 bytes of the request from a gateway that had been killed 0.2 s before."""
-        unread = standin.Unread(("127.9.3.1", platform.ENGINE), "unread", self.store, "records")
+        unread = standin.StalledReader(("127.9.3.1", platform.ENGINE_PORT), "unread", self.store, "records")
         self.addCleanup(unread.close)
         platform.wait_for(lambda: self.is_listed("unread"), "the back end in the list")
         body = b"x" * BODY_BYTES
         client = threading.Thread(target=self.put, args=(body,), daemon=True)
         client.start()
-        connection = unread.accept_written(platform.PATIENCE_S)
+        connection = unread.accept_with_data(platform.WAIT_TIMEOUT_S)
         self.addCleanup(connection.close)
         time.sleep(0.5)
         self.gateways[0].stop(signal.SIGKILL)
@@ -118,7 +118,7 @@
 
     def put(self, body):
         try:
-            platform.ask("PUT", "/put/killed", body)
+            platform.send_request("PUT", "/put/killed", body)
         except OSError:
             pass  # the gateway is killed
 
--- a/tests/system/platform_standin.py
+++ b/tests/system/platform_standin.py
@@ -71,14 +71,14 @@
     what is held up on it arrives late, and nothing is lost."""
 
     def __init__(self):
-        self.silent_until = 0.0
+        self.stalled_until = 0.0
         self.delay_s = 0.0
 
-    def fall_silent(self, seconds):
-        self.silent_until = time.monotonic() + seconds
+    def stall(self, seconds):
+        self.stalled_until = time.monotonic() + seconds
 
-    def cross(self):
-        while time.monotonic() < self.silent_until:
+    def wait_until_passable(self):
+        while time.monotonic() < self.stalled_until:
             time.sleep(0.01)
         if self.delay_s:
             time.sleep(self.delay_s)
@@ -91,7 +91,7 @@
         self.file, self.link = file, link
 
     def write(self, data):
-        self.link.cross()
+        self.link.wait_until_passable()
         return self.file.write(data)
 
     def __getattr__(self, name):
@@ -120,7 +120,7 @@
     def reply_json(self, value):
         self.reply(200, json.dumps(value).encode(), [("Content-Type", "application/json")])
 
-    def wait_for_end(self, seconds):
+    def wait_for_close(self, seconds):
         """How the caller ends the connection: "reset", "closed", or None while it stays open."""
         self.connection.settimeout(seconds)
         try:
@@ -138,7 +138,7 @@
         self.wfile.close()
         self.connection.close()
 
-    def parts(self):
+    def split_path(self):
         path = urllib.parse.urlsplit(self.path)
         query = {k: v[0] for k, v in urllib.parse.parse_qs(path.query, keep_blank_values=True).items()}
         return path.path, query
@@ -193,9 +193,9 @@
 class StoreHandler(Handler):
     def do_GET(self):
         store = self.owner
-        path, query = self.parts()
+        path, query = self.split_path()
         if store.mode == "silent":
-            self.stay_silent()
+            self.withhold_reply()
         elif store.mode == "busy":
             self.reply(503)
         elif path == "/api/kv-range":
@@ -221,12 +221,12 @@
                 store.changed.wait(left)
             answer = {"events": events, "at": store.revision}
         if store.mode == "silent":
-            self.stay_silent()
+            self.withhold_reply()
         else:
             self.reply_json(answer)
 
-    def stay_silent(self):
-        self.wait_for_end(60)
+    def withhold_reply(self):
+        self.wait_for_close(60)
         self.reset()
 
 
@@ -236,53 +236,53 @@
     def __init__(self, address, identity, store, service, version=None, state="ready"):
         self.address = address
         self.identity = identity
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         self.store = store
         self.service = service
         self.version = version
         self.sequence = 0       # of the last entry
         self.faults = []
         self.runs = []          # (request id, headers, body, time)
-        self.turned_away = []   # ids of requests that were for another back end
+        self.misdirected = []   # ids of requests that were for another back end
         self.connections = set()
         self.link = Link()
-        self.link_troubles = []  # (begin, end)
-        self.gone = []          # ids whose connection closed while they were worked on
-        self.ends = {}          # id of a request without an answer -> how its connection ended
+        self.link_faults = []  # (begin, end)
+        self.abandoned = []          # ids whose connection closed while they were worked on
+        self.connection_ends = {}  # id of a request without an answer -> how its connection ended
         self.staged = {}
         self.orders = 0
         self.orders_to_hold = 0  # that get no answer and are taken later
         self.held_orders = []
         self.puts_to_hold = 0   # that get no answer and are done just before an order is taken, or later
         self.held_puts = []     # (number, data)
-        self.corrupt_starts = []  # versions taken from a stage that was not theirs
+        self.corrupt_loads = []  # versions taken from a stage that was not theirs
         self.loading = False
         self.slots = 16
         self.event_gap_s = 0.0  # between the events of a stream
         self.load_s = None      # an order takes so long once nothing runs; None: at once, beside all
         self.running = set()    # connections of the streams that it works on
         self.last_streams = {}  # open connection -> id of its last stream
-        self.broken_off = []    # ids of the streams that it ended before they were whole
-        self.ending = False     # it resets its connections, and what comes on them meanwhile is cut too
+        self.aborted_streams = []    # ids of the streams that it ended before they were whole
+        self.shutting_down = False     # it resets its connections, and what comes on them meanwhile is cut too
         self.crashing_bodies = set()  # of requests that end the engine soon after they begin
         self.crash_times = {}   # body of such a request -> seconds after which it does, beside its stream
         self.crashing = []      # bodies of such requests that run here now
         self.crashes = []       # (bodies of those that ran, time) of each such end
-        self.back_after_s = 1.0  # it starts again so long after such an end, empty
+        self.restart_delay_s = 1.0  # it starts again so long after such an end, empty
         self.leaving = False    # each answer says that it leaves
         self.backoff_until = 0.0  # it refuses all until then, and asks for the time that is left
         self.arrivals = []      # (request id, time, start) of all requests, refused ones too
-        self.answers_leaving = []  # (request id, time, start) of answers that said that it leaves
+        self.leaving_answers = []  # (request id, time, start) of answers that said that it leaves
         self.backoffs = []         # (request id, time, seconds asked for, start) of such refusals
         self.state = state
         self.alive = True
-        self.returns = False    # it starts again soon
-        self.pausing = False    # a stream was paused by the fault
+        self.will_restart = False    # it starts again soon
+        self.paused = False    # a stream was paused by the fault
         self.lock = threading.Lock()
         self.server = Server(address, BackendHandler, self)
-        self.list()
+        self.publish_entry()
 
-    def list(self, state=None):
+    def publish_entry(self, state=None):
         """Write the entry anew; without a state it stays what it said before."""
         self.state = state or self.state
         if self.state == "gone":
@@ -297,36 +297,36 @@
         self.store.put("servers/" + self.identity, {
             "service": self.service, "address": "%s:%d" % self.address, "zone": "zone-a",
             "version": "v1", "slots": self.slots, "state": state, "cold_remaining_ms": 0,
-            "stage": "both", "models": models, "sequence": sequence, "born": self.born})
+            "stage": "both", "models": models, "sequence": sequence, "born": self.started_ms})
 
     def leave(self):
         """Leave without a word: the entry goes, requests are served on."""
         self.state = "gone"
         self.store.remove("servers/" + self.identity)
 
-    def say_leaving(self):
+    def announce_leaving(self):
         """It serves on, and says in each answer that it leaves; its entry stays as it is."""
         self.leaving = True
 
-    def back_off(self, seconds):
+    def start_backoff(self, seconds):
         self.backoff_until = time.monotonic() + seconds
 
     def disturb_link(self, seconds, silent):
         """For so long nothing passes, or each read and write takes longer."""
         begin = time.monotonic()
-        self.link_troubles.append((begin, begin + seconds))
+        self.link_faults.append((begin, begin + seconds))
         if silent:
-            self.link.fall_silent(seconds)
+            self.link.stall(seconds)
         else:
             self.link.delay_s = LINK_DELAY_S
 
-    def calm_link(self):
+    def restore_link(self):
         self.link.delay_s = 0.0
 
     def reset_link(self):
         """The way there resets all connections; the back end lives, and takes new ones."""
         with self.lock:
-            self.broken_off.extend(self.last_streams.values())
+            self.aborted_streams.extend(self.last_streams.values())
         for connection in list(self.connections):
             reset_connection(connection)
 
@@ -334,98 +334,98 @@
         """End at once and for good: connections are reset, new ones refused."""
         with self.lock:
             self.alive = False
-            self.returns = False
-        self.end_now()
+            self.will_restart = False
+        self.close_connections()
 
-    def end_now(self):
+    def close_connections(self):
         self.server.shutdown()
         self.server.server_close()
         with self.lock:  # a reset takes along what was written and not yet sent
-            self.ending = True
-            self.broken_off.extend(self.last_streams.values())
+            self.shutting_down = True
+            self.aborted_streams.extend(self.last_streams.values())
         for connection in list(self.connections):
             reset_connection(connection)
 
-    def run_crashing(self, body):
+    def crash_on_request(self, body):
         """A request ends the engine soon; it is back after a while, under the same id."""
         self.crashing.append(body)
         time.sleep(CRASH_AFTER_S)
-        self.crash_and_return()
+        self.crash_and_restart()
         self.crashing.remove(body)
 
     def crash_later(self, body):
         """The request ends this start after its own time, unless its stream is over by then."""
-        born = self.born
+        started_ms = self.started_ms
         self.crashing.append(body)
 
         def crash():
             if body in self.crashing:
-                if self.born == born:
-                    self.crash_and_return()
+                if self.started_ms == started_ms:
+                    self.crash_and_restart()
                 self.crashing.remove(body)
         timer = threading.Timer(self.crash_times[body], crash)
         timer.daemon = True
         timer.start()
 
-    def crash_and_return(self):
+    def crash_and_restart(self):
         with self.lock:
             if not self.alive:
                 return  # another one was first
             self.alive = False
-            self.returns = True
+            self.will_restart = True
             self.crashes.append((set(self.crashing), time.monotonic()))
         self.server.socket.shutdown(socket.SHUT_RDWR)  # refuses connections from now on
-        self.end_now()
-        timer = threading.Timer(self.back_after_s, self.start_again)
+        self.close_connections()
+        timer = threading.Timer(self.restart_delay_s, self.restart_backend)
         timer.daemon = True
         timer.start()
 
-    def start_again(self):
+    def restart_backend(self):
         """A new start under the same id: it knows nothing of before."""
         with self.lock:
-            if not self.returns:
+            if not self.will_restart:
                 return  # it ended for good meanwhile
-            self.born = max(self.born + 1, int(time.time() * 1000))
+            self.started_ms = max(self.started_ms + 1, int(time.time() * 1000))
             self.sequence = 0
             self.staged, self.orders, self.version, self.loading = {}, 0, None, False
             self.leaving, self.backoff_until = False, 0.0
             self.running = set()
             self.orders_to_hold, self.held_orders, self.held_puts = 0, [], []  # calls end with the process
-            self.ending = False
+            self.shutting_down = False
             self.server = Server(self.address, BackendHandler, self)
             self.alive = True
-        self.list()
+        self.publish_entry()
 
     def next_fault(self):
         with self.lock:
             return self.faults.pop(0) if self.faults else None
 
-    def holds_whole(self, version):
+    def has_all_pieces(self, version):
         return all(self.staged.get(n) == piece_bytes(version, n) for n in range(PIECES))
 
     def stage(self, number, data):
         """A piece is put. Orders that are held are taken at the worst moment: when it is foreign."""
         self.staged[number] = data
-        if any(not self.holds_whole(order["version"]) for order in self.held_orders):
-            self.take_held_orders()
+        if any(not self.has_all_pieces(order["version"]) for order in self.held_orders):
+            self.accept_held_orders()
 
     def hold_put(self, number, data, seconds):
         """Leave a put without an answer, and do it after some seconds at the latest."""
         self.puts_to_hold -= 1
         self.held_puts.append((number, data))
-        timer = threading.Timer(seconds, self.do_held_puts)
+        timer = threading.Timer(seconds, self.apply_held_puts)
         timer.daemon = True
         timer.start()
 
-    def do_held_puts(self):
+    def apply_held_puts(self):
         with self.lock:
             puts, self.held_puts = self.held_puts, []
         for number, data in puts:
             self.stage(number, data)
 
-    def take(self, order):
+    def accept_order(self, order):
         """The status that an order gets; whoever takes weights has what lies in the stage then."""
-        self.do_held_puts()
+        self.apply_held_puts()
         with self.lock:
             if order.get("expected_revision", self.orders) != self.orders:
                 return 409
@@ -433,9 +433,9 @@
                 return 409
             self.orders += 1
             self.loading = self.load_s is not None
-            version = order["version"] if self.holds_whole(order["version"]) else 0
+            version = order["version"] if self.has_all_pieces(order["version"]) else 0
             if not version:
-                self.corrupt_starts.append(order["version"])
+                self.corrupt_loads.append(order["version"])
         if self.loading:
             threading.Thread(target=self.load, args=(order, version), daemon=True).start()
         else:
@@ -444,14 +444,14 @@
 
     def run_version(self, version):
         self.version = version
-        self.list()
+        self.publish_entry()
 
     def load(self, order, version):
         """Run empty, or break off what runs if the order says so, then load what lay there."""
         with self.lock:
             streams = list(self.running) if order["method"] == "cutover" else []
         for connection, identity in streams:
-            self.broken_off.append(identity)
+            self.aborted_streams.append(identity)
             reset_connection(connection)
         while self.running:
             time.sleep(0.01)
@@ -459,34 +459,34 @@
         self.run_version(version)
         self.loading = False
 
-    def begin_stream(self, connection, identity):
+    def start_stream(self, connection, identity):
         """Whether there is a place for it, and no order under way."""
         with self.lock:
             if self.loading or len(self.running) >= self.slots:
                 return False
             self.running.add((connection, identity))
             self.last_streams[connection] = identity
-            if self.ending:
-                self.broken_off.append(identity)
+            if self.shutting_down:
+                self.aborted_streams.append(identity)
             return True
 
     def end_stream(self, connection, identity):
         with self.lock:
             self.running.discard((connection, identity))
 
-    def hold(self, order, seconds):
+    def hold_order(self, order, seconds):
         """Leave an order without an answer, and take it after some seconds at the latest."""
         self.orders_to_hold -= 1
         self.held_orders.append(order)
-        timer = threading.Timer(seconds, self.take_held_orders)
+        timer = threading.Timer(seconds, self.accept_held_orders)
         timer.daemon = True
         timer.start()
 
-    def take_held_orders(self):
+    def accept_held_orders(self):
         with self.lock:
             orders, self.held_orders = self.held_orders, []
         for order in orders:
-            self.take(order)
+            self.accept_order(order)
 
 
 class BackendHandler(Handler):
@@ -496,7 +496,7 @@
         self.owner.connections.add(self.connection)
 
     def parse_request(self):
-        self.owner.link.cross()
+        self.owner.link.wait_until_passable()
         return super().parse_request()
 
     def finish(self):
@@ -508,8 +508,8 @@
         """All answers say so, reports and refusals too."""
         if self.owner.leaving:
             self.send_header("Server-Leaving", "1")
-            self.owner.answers_leaving.append((self.headers.get("Shuntrun-Request-Id"),
-                                               time.monotonic(), self.owner.born))
+            self.owner.leaving_answers.append((self.headers.get("Shuntrun-Request-Id"),
+                                               time.monotonic(), self.owner.started_ms))
         super().end_headers()
 
     def refuse_while_backed_off(self, identity):
@@ -518,16 +518,16 @@
         left = self.owner.backoff_until - now
         if left <= 0:
             return False
-        self.owner.backoffs.append((identity, now, left, self.owner.born))
+        self.owner.backoffs.append((identity, now, left, self.owner.started_ms))
         self.reply(503, b"", [("Shuntrun-Request-Id", identity), ("Shuntrun-Not-Executed", "1"),
                               ("Retry-After", "%.3f" % left)])
         return True
 
     def do_GET(self):
-        path, query = self.parts()
+        path, query = self.split_path()
         owner = self.owner
         if path == "/api/report":
-            self.reply_json({"stage": "both", "born": owner.born, "models": [{"name": MODEL, "version": owner.version or 0,
+            self.reply_json({"stage": "both", "born": owner.started_ms, "models": [{"name": MODEL, "version": owner.version or 0,
                                                           "adapters": []}],
                              "utilization": owner.loading, "sequence": owner.orders,
                              "waiting_requests": 0,
@@ -540,18 +540,18 @@
             self.run()
 
     def do_PUT(self):
-        _, query = self.parts()
+        _, query = self.split_path()
         number, data = int(query["sample_count"]), self.read_body()
         if self.owner.puts_to_hold:
             self.owner.hold_put(number, data, HELD_PUT_S)
-            self.wait_for_end(2 * HELD_PUT_S)
+            self.wait_for_close(2 * HELD_PUT_S)
             self.reset()
             return
         self.owner.stage(number, data)
         self.reply(200)
 
     def do_POST(self):
-        path, _ = self.parts()
+        path, _ = self.split_path()
         if path == "/api/order":
             self.order(json.loads(self.read_body()))
         else:
@@ -559,21 +559,21 @@
 
     def order(self, order):
         if self.owner.orders_to_hold:
-            self.owner.hold(order, HELD_ORDER_S)
-            self.wait_for_end(2 * HELD_ORDER_S)
+            self.owner.hold_order(order, HELD_ORDER_S)
+            self.wait_for_close(2 * HELD_ORDER_S)
             self.reset()
         else:
-            self.reply(self.owner.take(order))
+            self.reply(self.owner.accept_order(order))
 
     def run(self):
         owner = self.owner
         body = self.read_body()
         identity = self.headers.get("Shuntrun-Request-Id", "")
-        owner.arrivals.append((identity, time.monotonic(), owner.born))
+        owner.arrivals.append((identity, time.monotonic(), owner.started_ms))
         expected = self.headers.get("Shuntrun-Expected-Instance")
         version = self.headers.get("Shuntrun-Expected-Version")
         if expected not in (None, owner.identity) or version not in (None, str(owner.version)):
-            owner.turned_away.append(identity)
+            owner.misdirected.append(identity)
             self.reply(421, b"", [("Shuntrun-Request-Id", identity),
                                   ("Shuntrun-Instance-Id", owner.identity)])
             return
@@ -582,31 +582,31 @@
         fault = owner.next_fault()
         echo = [("Shuntrun-Request-Id", identity)]
         streams = self.path.startswith("/stream/")
-        if fault == "shed" or (streams and not owner.begin_stream(self.connection, identity)):
+        if fault == "shed" or (streams and not owner.start_stream(self.connection, identity)):
             self.reply(503, b"", echo + [("Shuntrun-Not-Executed", "1")])
             return
         try:
-            self.work(identity, body, fault, echo)
+            self.execute(identity, body, fault, echo)
         finally:
             owner.end_stream(self.connection, identity)
 
-    def work(self, identity, body, fault, echo):
+    def execute(self, identity, body, fault, echo):
         owner = self.owner
         owner.runs.append((identity, dict(self.headers), body, time.monotonic()))
         if body in owner.crash_times:
             owner.crash_later(body)
             self.stream(echo, None)
         elif body in owner.crashing_bodies:
-            owner.run_crashing(body)
+            owner.crash_on_request(body)
         elif fault == "reset":
             self.reset()
         elif fault == "error":
             self.reply(500, b"failed", echo + self.seal())
         elif fault == "silent":
-            owner.ends[identity] = self.wait_for_end(3)
+            owner.connection_ends[identity] = self.wait_for_close(3)
             self.reset()
         elif fault == "mute":
-            owner.ends[identity] = self.wait_for_end(MUTE_S)
+            owner.connection_ends[identity] = self.wait_for_close(MUTE_S)
             self.reset()
         elif fault == "unsealed":
             self.reply(200, b"not whole", echo)
@@ -636,18 +636,18 @@
             self.send_header(name, value)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        _, query = self.parts()
+        _, query = self.split_path()
         gap_s = float(query["gap_ms"]) / 1000 if "gap_ms" in query else self.owner.event_gap_s
         for number in range(first, int(query.get("events", STREAM_EVENTS)) + 1):
             event = stream_event(number)
             if fault == "pause" and number == first + 3:
-                self.owner.pausing = True
+                self.owner.paused = True
                 time.sleep(PAUSE_S)
             if fault == "torn" and number == first + 3:
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(event[:9]), event[:9]))
                 self.wfile.flush()
                 time.sleep(0.05)
-                self.owner.broken_off.append(echo[0][1])
+                self.owner.aborted_streams.append(echo[0][1])
                 self.reset()
                 return
             self.wfile.write(b"%x\r\n%s\r\n" % (len(event), event))
@@ -661,7 +661,7 @@
                 except (TimeoutError, BlockingIOError):
                     pass
                 except OSError:
-                    self.owner.gone.append(echo[0][1])
+                    self.owner.abandoned.append(echo[0][1])
                     self.close_connection = True
                     return
                 self.connection.settimeout(None)
@@ -681,9 +681,9 @@
             filler.setblocking(False)
             filler.connect_ex(address)
         self.address, self.identity, self.store, self.service = address, identity, store, service
-        self.list("ready")
+        self.publish_entry("ready")
 
-    def list(self, state):
+    def publish_entry(self, state):
         self.store.put("servers/" + self.identity, {
             "service": self.service, "address": "%s:%d" % self.address, "zone": "zone-a",
             "version": "v1", "slots": 16, "state": state, "cold_remaining_ms": 0, "sequence": 1})
@@ -693,7 +693,7 @@
             sock.close()
 
 
-class Unread:
+class StalledReader:
     """A back end of the list that takes connections and reads nothing until it is told to. What it has
     not read fills its small buffer, and then waits at the sender."""
 
@@ -710,7 +710,7 @@
             "slots": 16, "state": "ready", "cold_remaining_ms": 0, "sequence": 1,
             "born": int(time.time() * 1000)})
 
-    def accept_written(self, seconds):
+    def accept_with_data(self, seconds):
         """A connection on which bytes lie."""
         self.listener.settimeout(seconds)
         connection, _ = self.listener.accept()
@@ -739,13 +739,13 @@
     def __init__(self, address):
         self.newest = 1
         self.pieces_sent = 0
-        self.spoil = 0
+        self.pieces_to_corrupt = 0
         self.server = Server(address, OriginHandler, self)
 
 
 class OriginHandler(Handler):
     def do_GET(self):
-        path, query = self.parts()
+        path, query = self.split_path()
         version = int(query.get("version") or self.owner.newest)
         if path.startswith("/api/manifest/"):
             digests = [hashlib.sha256(piece_bytes(version, n)).hexdigest() for n in range(PIECES)]
@@ -754,8 +754,8 @@
         elif path.startswith("/api/piece/"):
             self.owner.pieces_sent += 1
             data = piece_bytes(version, int(query["sample_count"]))
-            if self.owner.spoil:
-                self.owner.spoil -= 1
+            if self.owner.pieces_to_corrupt:
+                self.owner.pieces_to_corrupt -= 1
                 data = b"?" + data[1:]
             self.reply(200, data)
         else:
--- a/tests/system/platform_test.py
+++ b/tests/system/platform_test.py
@@ -18,18 +18,18 @@
 OPTIONS = None
 STORE = ("127.9.0.1", 8100)
 ORIGIN = ("127.9.0.2", 8101)
-EDGES = ["127.9.1.1", "127.9.1.2"]
-SIDES = ["127.9.2.1", "127.9.2.2", "127.9.2.3"]
-PLAIN = ["127.9.3.1", "127.9.3.2"]
-HUNG = ["127.9.4.%d" % n for n in range(1, 6)]
+EDGE_IPS = ["127.9.1.1", "127.9.1.2"]
+ENGINE_IPS = ["127.9.2.1", "127.9.2.2", "127.9.2.3"]
+PLAIN_IPS = ["127.9.3.1", "127.9.3.2"]
+HUNG_IPS = ["127.9.4.%d" % n for n in range(1, 6)]
 PEER_PORT = 7811
-FRONT, READY, DIRECTORY, ENGINE, METRICS = 8102, 8103, 8104, 8105, 9565
-PATIENCE_S = 20
+CLIENT_PORT, READY_PORT, DIRECTORY_PORT, ENGINE_PORT, METRICS_PORT = 8102, 8103, 8104, 8105, 9565
+WAIT_TIMEOUT_S = 20
 IDLE_TIMEOUT_MS = 5000  # of connections of clients
 
 
 def wait_for(condition, what):
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
             return
@@ -77,7 +77,7 @@
         self.log_path = log_path(role, address)
         settings = {"name": "%s-%s" % (role, address), "zone": "zone-a", "region": "region-a",
                     "address": address, "zones": "zone-a=region-a", "peer-port": PEER_PORT,
-                    "metrics-port": METRICS, "seeds": "%s:1,127.9.9.9:1" % EDGES[0]}
+                    "metrics-port": METRICS_PORT, "seeds": "%s:1,127.9.9.9:1" % EDGE_IPS[0]}
         settings.update(extra)
         path = os.path.join(OPTIONS.work, "%s-%s.settings" % (role, address))
         with open(path, "w") as stream:
@@ -93,21 +93,21 @@
     def stop(self, number=signal.SIGKILL):
         if self.process.poll() is None:
             self.process.send_signal(number)
-        status = self.process.wait(timeout=PATIENCE_S)
+        status = self.process.wait(timeout=WAIT_TIMEOUT_S)
         self.log.close()
         return status
 
 
 def edge(address, environment=None):
     return Node("edge", address, {
-        "store-address": "%s:%d" % STORE, "client-address": "%s:%d" % (address, FRONT),
-        "ready-address": "%s:%d" % (address, READY), "least-gateways": 2,
-        "directory-address": "%s:%d" % (address, DIRECTORY), "repeat-budget-ratio": "0.5",
+        "store-address": "%s:%d" % STORE, "client-address": "%s:%d" % (address, CLIENT_PORT),
+        "ready-address": "%s:%d" % (address, READY_PORT), "least-gateways": 2,
+        "directory-address": "%s:%d" % (address, DIRECTORY_PORT), "repeat-budget-ratio": "0.5",
         "repeat-budget-allowance": 1000}, environment)
 
 
 def loader(address):
-    return Node("loader", address, {"engine-address": "%s:%d" % (address, ENGINE),
+    return Node("loader", address, {"engine-address": "%s:%d" % (address, ENGINE_PORT),
                                     "engine-service": "llm", "link-mbit": "100"})
 
 
@@ -118,13 +118,13 @@
         self.body = body
 
 
-NUMBER = [0]
+REQUEST_COUNT = [0]
 
 
-def ask(method, path, body=None, address=EDGES[0], key="key-a", timeout=8, **headers):
-    NUMBER[0] += 1
-    identity = "%016x" % NUMBER[0]
-    connection = http.client.HTTPConnection(address, FRONT, timeout=timeout)
+def send_request(method, path, body=None, address=EDGE_IPS[0], key="key-a", timeout=8, **headers):
+    REQUEST_COUNT[0] += 1
+    identity = "%016x" % REQUEST_COUNT[0]
+    connection = http.client.HTTPConnection(address, CLIENT_PORT, timeout=timeout)
     fields = {"Host": "a.example", "Shuntrun-Request-Id": identity, "Shuntrun-Deadline-Ms": "2000"}
     if key:
         fields["Authorization"] = "Bearer " + key
@@ -151,8 +151,8 @@
         connection.close()
 
 
-def metric(name, address=EDGES[0]):
-    for line in get(address, METRICS, "/metrics")[1].decode().splitlines():
+def metric(name, address=EDGE_IPS[0]):
+    for line in get(address, METRICS_PORT, "/metrics")[1].decode().splitlines():
         if line.startswith(name + " "):
             return int(line.split()[1])
     raise AssertionError("no metric " + name)
@@ -166,18 +166,18 @@
     def setUpClass(cls):
         cls.store = standin.Store(STORE)
         cls.origin = standin.Origin(ORIGIN)
-        cls.engines = [standin.Backend((ip, ENGINE), "engine-%d" % i, cls.store, "llm",
-                                       1 if i < 2 else None) for i, ip in enumerate(SIDES)]
-        cls.plain = [standin.Backend((ip, ENGINE), "plain-%d" % i, cls.store, "records")
-                     for i, ip in enumerate(PLAIN)]
+        cls.engines = [standin.Backend((ip, ENGINE_PORT), "engine-%d" % i, cls.store, "llm",
+                                       1 if i < 2 else None) for i, ip in enumerate(ENGINE_IPS)]
+        cls.plain = [standin.Backend((ip, ENGINE_PORT), "plain-%d" % i, cls.store, "records")
+                     for i, ip in enumerate(PLAIN_IPS)]
         cls.store.put("op/config", configuration(1))
-        cls.edges = [edge(ip) for ip in EDGES]
-        cls.loaders = [loader(ip) for ip in SIDES]
-        wait_for(lambda: all(get(ip, READY, "/api/readiness")[0] == 200 for ip in EDGES),
+        cls.edges = [edge(ip) for ip in EDGE_IPS]
+        cls.loaders = [loader(ip) for ip in ENGINE_IPS]
+        wait_for(lambda: all(get(ip, READY_PORT, "/api/readiness")[0] == 200 for ip in EDGE_IPS),
                  "ready edges")
         # The third engine is empty at first; its loader fills it from peers or the origin.
         wait_for(lambda: cls.engines[2].version == 1, "an empty engine filled")
-        wait_for(lambda: ask("POST", "/stream/1", b"x").status == 200, "a stream served")
+        wait_for(lambda: send_request("POST", "/stream/1", b"x").status == 200, "a stream served")
 
     @classmethod
     def tearDownClass(cls):
@@ -188,10 +188,10 @@
         for backend in self.engines + self.plain:
             backend.faults.clear()
             backend.runs.clear()
-            backend.gone.clear()
-            backend.ends.clear()
+            backend.abandoned.clear()
+            backend.connection_ends.clear()
 
-    def await_news(self):
+    def await_store_updates(self):
         """The edge that is asked knows all that the store has."""
         wait_for(lambda: metric("shuntrun_state_revision") >= self.store.revision, "news of the store")
 
@@ -200,14 +200,14 @@
                 if run[0] == identity]
 
     def test_addresses_name_all_edges(self):
-        status, body = get(EDGES[0], DIRECTORY, "/api/resolve?name=a&region=region-a&zone=zone-a")
+        status, body = get(EDGE_IPS[0], DIRECTORY_PORT, "/api/resolve?name=a&region=region-a&zone=zone-a")
         answer = json.loads(body)
         self.assertEqual(status, 200)
-        self.assertEqual(sorted(answer["addresses"]), ["%s:%d" % (ip, FRONT) for ip in EDGES])
+        self.assertEqual(sorted(answer["addresses"]), ["%s:%d" % (ip, CLIENT_PORT) for ip in EDGE_IPS])
         self.assertGreater(answer["ttl_s"], 0)
 
     def test_a_request_arrives_as_it_was_sent(self):
-        answer = ask("POST", "/put/a%2Fb?q=%20x", b"body", Shuntrun_Tenant="forged")
+        answer = send_request("POST", "/put/a%2Fb?q=%20x", b"body", Shuntrun_Tenant="forged")
         self.assertEqual(answer.status, 200)
         self.assertEqual(answer.body, b"answer to /put/a%2Fb?q=%20x body")
         self.assertIn("Shuntrun-Response-Seal", answer.headers)
@@ -218,18 +218,18 @@
         self.assertEqual(body, b"body")
 
     def test_unknown_routes_and_keys(self):
-        self.assertEqual(ask("GET", "/nowhere/1").status, 404)
-        self.assertEqual(ask("GET", "/get/1", key="other").status, 401)
-        self.assertEqual(ask("GET", "/get/1", key=None).status, 401)
+        self.assertEqual(send_request("GET", "/nowhere/1").status, 404)
+        self.assertEqual(send_request("GET", "/get/1", key="other").status, 401)
+        self.assertEqual(send_request("GET", "/get/1", key=None).status, 401)
         self.assertEqual(sum(len(b.runs) for b in self.plain), 0)
 
     def test_limits(self):
-        self.assertEqual(ask("POST", "/put/1", b"x" * 100001).status, 413)
-        self.assertEqual(ask("GET", "/get/1", X_Long="x" * 9000).status, 431)
-        with socket.create_connection((EDGES[0], FRONT), timeout=5) as connection:
+        self.assertEqual(send_request("POST", "/put/1", b"x" * 100001).status, 413)
+        self.assertEqual(send_request("GET", "/get/1", X_Long="x" * 9000).status, 431)
+        with socket.create_connection((EDGE_IPS[0], CLIENT_PORT), timeout=5) as connection:
             connection.sendall(b"no http\r\n\r\n")
             self.assertIn(b" 400 ", connection.recv(1000))
-        with socket.create_connection((EDGES[0], FRONT), timeout=5) as connection:
+        with socket.create_connection((EDGE_IPS[0], CLIENT_PORT), timeout=5) as connection:
             connection.sendall(b"GET /get/1 HTTP/1.1\r\nHost: a")
             self.assertIn(b" 408 ", connection.recv(1000))
 
@@ -238,8 +238,8 @@
         each one takes a descriptor. One that comes slowly is waited for."""
         head = (b"POST /put/1 HTTP/1.1\r\nHost: a.example\r\nShuntrun-Request-Id: slow\r\n"
                 b"Authorization: Bearer key-a\r\nContent-Length: 10\r\n\r\n")
-        with socket.create_connection((EDGES[0], FRONT), timeout=PATIENCE_S) as stopped, \
-                socket.create_connection((EDGES[0], FRONT), timeout=PATIENCE_S) as slow:
+        with socket.create_connection((EDGE_IPS[0], CLIENT_PORT), timeout=WAIT_TIMEOUT_S) as stopped, \
+                socket.create_connection((EDGE_IPS[0], CLIENT_PORT), timeout=WAIT_TIMEOUT_S) as slow:
             stopped.sendall(head + b"abc")
             slow.sendall(head)
             for byte in b"0123456789":
@@ -252,7 +252,7 @@
         for fault in ("reset", "unsealed"):
             for backend in self.plain:
                 backend.faults[:] = [fault]
-            answer = ask("POST", "/put/1", b"x")
+            answer = send_request("POST", "/put/1", b"x")
             self.assertEqual(answer.status, 502, fault)
             self.assertEqual(len(self.runs_of(answer.identity)), 1, fault)
 
@@ -261,7 +261,7 @@
             self.plain[0].faults[:] = [fault]
             self.plain[1].faults[:] = []
             for _ in range(6):
-                self.assertEqual(ask("GET", "/get/1").status, 200, fault)
+                self.assertEqual(send_request("GET", "/get/1").status, 200, fault)
 
     def test_a_request_that_is_given_up_cannot_arrive_later(self):
         """A request reached an engine 3.1 s after the engine had said that it leaves, and 5.2 s after
@@ -271,9 +271,9 @@
         the request at 13.35 s. A reset takes it back."""
         self.plain[0].faults = ["silent"]
         self.plain[1].faults = ["silent"]
-        ask("GET", "/get/given-up")
-        wait_for(lambda: any(backend.ends for backend in self.plain), "an end of the connection")
-        ends = [end for backend in self.plain for end in backend.ends.values()]
+        send_request("GET", "/get/given-up")
+        wait_for(lambda: any(backend.connection_ends for backend in self.plain), "an end of the connection")
+        ends = [end for backend in self.plain for end in backend.connection_ends.values()]
         self.assertEqual(set(ends), {"reset"})
 
     def test_a_back_end_that_hangs_is_not_tried_without_end(self):
@@ -283,22 +283,22 @@
         begun in the future, the difference of unsigned numbers was huge, it was given up at once, and
         the next one opened, until the request had no time left. Nothing else was done meanwhile: news
         of engines that left were read 2.9 s late."""
-        for number, ip in enumerate(HUNG):
-            hung = standin.Unreachable((ip, ENGINE), "hung-%d" % number, self.store, "hung")
+        for number, ip in enumerate(HUNG_IPS):
+            hung = standin.Unreachable((ip, ENGINE_PORT), "hung-%d" % number, self.store, "hung")
             self.addCleanup(hung.close)
             self.addCleanup(self.store.remove, "servers/hung-%d" % number)
-        known = len(self.engines + self.plain + HUNG)
+        known = len(self.engines + self.plain + HUNG_IPS)
         wait_for(lambda: metric("shuntrun_backends") >= known, "the listing")
         before = metric("shuntrun_upstream_connections_total")
-        self.assertEqual(ask("GET", "/hung/1", Shuntrun_Deadline_Ms="6000").status, 503)
+        self.assertEqual(send_request("GET", "/hung/1", Shuntrun_Deadline_Ms="6000").status, 503)
         self.assertLess(metric("shuntrun_upstream_connections_total") - before, 50)
 
     def test_connections_to_a_back_end_that_the_list_dropped_are_closed(self):
         """They were kept for as long as the other side kept them: for ever, where its machine had lost
         power. The sweep of idle connections went over the back ends of the list."""
-        leaver = standin.Backend((HUNG[0], ENGINE), "leaver", self.store, "hung")
+        leaver = standin.Backend((HUNG_IPS[0], ENGINE_PORT), "leaver", self.store, "hung")
         self.addCleanup(leaver.crash)
-        wait_for(lambda: ask("GET", "/hung/1").status == 200, "a request at it")
+        wait_for(lambda: send_request("GET", "/hung/1").status == 200, "a request at it")
         self.assertTrue(leaver.connections)
         leaver.leave()
         wait_for(lambda: not leaver.connections, "closed connections")
@@ -306,18 +306,18 @@
     def test_a_request_leaves_a_connection_that_does_not_come_up_to_a_dropped_back_end(self):
         """It waited there until its deadline, 6 s, as only connections to back ends of the list had a
         time to come up; then it was refused, beside a back end that was free."""
-        hung = standin.Unreachable((HUNG[1], ENGINE), "hung-dropped", self.store, "hung")
+        hung = standin.Unreachable((HUNG_IPS[1], ENGINE_PORT), "hung-dropped", self.store, "hung")
         self.addCleanup(hung.close)
-        self.await_news()
+        self.await_store_updates()
         before = metric("shuntrun_upstream_connections_total")
         answers = []
         caller = threading.Thread(target=lambda: answers.append(
-            ask("POST", "/hung-put/1", b"x", Shuntrun_Deadline_Ms="6000")))
+            send_request("POST", "/hung-put/1", b"x", Shuntrun_Deadline_Ms="6000")))
         caller.start()
         wait_for(lambda: metric("shuntrun_upstream_connections_total") > before, "a connection")
-        free = standin.Backend((HUNG[2], ENGINE), "free", self.store, "hung")
+        free = standin.Backend((HUNG_IPS[2], ENGINE_PORT), "free", self.store, "hung")
         self.addCleanup(free.crash)
-        hung.list("draining")
+        hung.publish_entry("draining")
         self.store.remove("servers/hung-dropped")
         caller.join()
         self.assertEqual((answers[0].status, answers[0].body), (200, b"answer to /hung-put/1 x"))
@@ -331,11 +331,11 @@
             "service": "records", "address": "255.255.255.255:9", "zone": "zone-a", "version": "v1",
             "slots": 16, "state": "ready", "cold_remaining_ms": 0, "sequence": 1, "born": 1})
         self.addCleanup(self.store.remove, "servers/no-way")
-        self.await_news()
+        self.await_store_updates()
         answers = []
 
         def is_met():
-            answers.append(ask("POST", "/put/1", b"x").status)
+            answers.append(send_request("POST", "/put/1", b"x").status)
             return metric("shuntrun_ejections_total") > before
         wait_for(is_met, "a request that meets it")
         self.assertEqual(set(answers), {200})
@@ -344,7 +344,7 @@
         """Both back ends fail one request: its answer is whole. \return how many of them ran it"""
         for backend in self.plain:
             backend.faults[:] = ["error"]
-        answer = ask("GET", "/get/1")
+        answer = send_request("GET", "/get/1")
         self.assertEqual((answer.status, answer.body), (500, b"failed"))
         self.assertTrue(answer.headers.get("Shuntrun-Response-Seal", "").startswith("seal-"))
         return len(self.runs_of(answer.identity))
@@ -359,12 +359,12 @@
         for backend in self.plain:
             backend.faults[:] = ["foreign"]
         for _ in range(4):
-            self.assertEqual(ask("GET", "/get/1").body, b"answer to /get/1 ")
+            self.assertEqual(send_request("GET", "/get/1").body, b"answer to /get/1 ")
 
     def test_a_refusal_says_when_to_come_back(self):
         for backend in self.plain:
             backend.faults[:] = ["shed"] * 3
-        answer = ask("POST", "/put/1", b"x")
+        answer = send_request("POST", "/put/1", b"x")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0)
         self.assertEqual(self.runs_of(answer.identity), [])
@@ -374,54 +374,54 @@
             engine.faults[:] = []
         for _ in range(6):
             self.engines[0].faults[:] = ["torn"]
-            answer = ask("POST", "/stream/1", b"x")
+            answer = send_request("POST", "/stream/1", b"x")
             self.assertEqual(answer.body, whole_stream())
-        wait_for(lambda: ask("POST", "/stream/1", b"x").status == 200, "engines back")
+        wait_for(lambda: send_request("POST", "/stream/1", b"x").status == 200, "engines back")
 
     def test_a_client_that_leaves_is_heard_of(self):
         for engine in self.engines:
             engine.faults[:] = ["slow"] * 5
-        connection = http.client.HTTPConnection(EDGES[0], FRONT, timeout=5)
+        connection = http.client.HTTPConnection(EDGE_IPS[0], CLIENT_PORT, timeout=5)
         connection.request("POST", "/stream/1", b"x", {
             "Host": "a.example", "Shuntrun-Request-Id": "leaver", "Shuntrun-Deadline-Ms": "2000",
             "Authorization": "Bearer key-a"})
         connection.getresponse().read(10)
         connection.sock.close() if connection.sock else None
         connection.close()
-        wait_for(lambda: any("leaver" in e.gone for e in self.engines), "the engine hears of it")
+        wait_for(lambda: any("leaver" in e.abandoned for e in self.engines), "the engine hears of it")
 
     def test_requests_without_time_leave_connections_sound(self):
         for _ in range(20):
-            ask("GET", "/get/1")  # connections to both back ends are kept
+            send_request("GET", "/get/1")  # connections to both back ends are kept
         for backend in self.plain:
             backend.runs.clear()
         for _ in range(20):
-            self.assertEqual(ask("GET", "/get/1", Shuntrun_Deadline_Ms="1").status, 503)
-            self.assertEqual(ask("GET", "/get/1", Shuntrun_Deadline_Ms="0").status, 503)
+            self.assertEqual(send_request("GET", "/get/1", Shuntrun_Deadline_Ms="1").status, 503)
+            self.assertEqual(send_request("GET", "/get/1", Shuntrun_Deadline_Ms="0").status, 503)
         self.assertEqual(sum(len(b.runs) for b in self.plain), 0)
         for _ in range(20):
-            self.assertEqual(ask("GET", "/get/1").status, 200)
+            self.assertEqual(send_request("GET", "/get/1").status, 200)
 
     def test_a_draining_back_end_gets_nothing(self):
-        self.plain[0].list("draining")
+        self.plain[0].publish_entry("draining")
         try:
-            self.await_news()
+            self.await_store_updates()
             for _ in range(8):
-                self.assertEqual(ask("GET", "/get/1").status, 200)
+                self.assertEqual(send_request("GET", "/get/1").status, 200)
             self.assertEqual(self.plain[0].runs, [])
         finally:
             self.begin_anew(self.plain[0])
         self.plain[1].faults[:] = ["shed"]
-        self.assertEqual(ask("GET", "/get/1").status, 200)
+        self.assertEqual(send_request("GET", "/get/1").status, 200)
         self.assertEqual(len(self.plain[0].runs), 1, "the next start is used")
 
     def begin_anew(self, backend):
         """That a start leaves is final; the next one, under the same id, does not."""
         backend.state = "ready"
-        backend.back_after_s = 0
-        backend.crash_and_return()
+        backend.restart_delay_s = 0
+        backend.crash_and_restart()
         wait_for(lambda: backend.alive, "the next start")
-        self.await_news()
+        self.await_store_updates()
 
     def test_configuration_reaches_a_node_that_the_store_turns_away(self):
         self.store.put("op/config", configuration(2))
@@ -430,15 +430,15 @@
         try:
             edges[1].stop()
             edges[1].start()
-            wait_for(lambda: get(EDGES[1], READY, "/api/readiness")[0] == 200, "state from a peer")
-            self.assertEqual(ask("GET", "/get/1", address=EDGES[1]).status, 200)
+            wait_for(lambda: get(EDGE_IPS[1], READY_PORT, "/api/readiness")[0] == 200, "state from a peer")
+            self.assertEqual(send_request("GET", "/get/1", address=EDGE_IPS[1]).status, 200)
         finally:
             self.store.mode = "good"
 
     def test_a_refused_configuration_changes_nothing(self):
         self.store.put("op/config", {"version": 3, "routes": [{"name": "x"}]})
         time.sleep(0.3)
-        self.assertEqual(ask("GET", "/get/1").status, 200)
+        self.assertEqual(send_request("GET", "/get/1").status, 200)
         with open(self.edges[0].log_path) as log:
             self.assertIn("subsystem=config event=refused", log.read())
         self.store.put("op/config", configuration(4))
@@ -446,7 +446,7 @@
     def test_a_planned_stop_cuts_nothing(self):
         for engine in self.engines:
             engine.faults[:] = ["slow"] * 2
-        connection = http.client.HTTPConnection(EDGES[1], FRONT, timeout=8)
+        connection = http.client.HTTPConnection(EDGE_IPS[1], CLIENT_PORT, timeout=8)
         connection.request("POST", "/stream/1", b"x", {
             "Host": "a.example", "Shuntrun-Request-Id": "stayer", "Shuntrun-Deadline-Ms": "6000",
             "Authorization": "Bearer key-a"})
@@ -454,26 +454,26 @@
         self.edges[1].process.send_signal(signal.SIGTERM)
         body = response.read()
         self.assertTrue(body.startswith(b"id: 1\n"))
-        self.assertEqual(get(EDGES[1], READY, "/api/readiness")[0], 503)
-        addresses = json.loads(get(EDGES[0], DIRECTORY, "/api/resolve?zone=zone-a")[1])["addresses"]
-        self.assertEqual(addresses, ["%s:%d" % (EDGES[0], FRONT)])
-        self.assertEqual(self.edges[1].process.wait(timeout=PATIENCE_S), 0)
+        self.assertEqual(get(EDGE_IPS[1], READY_PORT, "/api/readiness")[0], 503)
+        addresses = json.loads(get(EDGE_IPS[0], DIRECTORY_PORT, "/api/resolve?zone=zone-a")[1])["addresses"]
+        self.assertEqual(addresses, ["%s:%d" % (EDGE_IPS[0], CLIENT_PORT)])
+        self.assertEqual(self.edges[1].process.wait(timeout=WAIT_TIMEOUT_S), 0)
         self.edges[1].start()
-        wait_for(lambda: get(EDGES[1], READY, "/api/readiness")[0] == 200, "the edge again")
+        wait_for(lambda: get(EDGE_IPS[1], READY_PORT, "/api/readiness")[0] == 200, "the edge again")
 
     def test_metrics_are_served(self):
-        status, body = get(EDGES[0], METRICS, "/metrics")
+        status, body = get(EDGE_IPS[0], METRICS_PORT, "/metrics")
         self.assertEqual(status, 200)
         self.assertIn(b"shuntrun_first_event_seconds_bucket", body)
 
     def test_zz_a_new_version_spreads_with_one_copy_of_the_origin(self):
         self.origin.newest = 2
-        self.origin.spoil = 2
+        self.origin.pieces_to_corrupt = 2
         before = self.origin.pieces_sent
         self.store.put("op/version/" + standin.MODEL, {"model": standin.MODEL, "version": 2})
         wait_for(lambda: all(e.version == 2 for e in self.engines), "version 2 everywhere")
         self.assertLess(self.origin.pieces_sent - before, 2 * standin.PIECES + 2)
-        wait_for(lambda: ask("POST", "/stream/1", b"x").headers.get(
+        wait_for(lambda: send_request("POST", "/stream/1", b"x").headers.get(
             "Shuntrun-Weight-Versions") == "2", "answers of version 2")
 
 
--- a/tests/system/soak.py
+++ b/tests/system/soak.py
@@ -11,11 +11,11 @@
   drain      nothing reaches a back end longer than DRAIN_S after the store said that it leaves, run or not
   leaving    nothing comes from an edge to a back end longer than DRAIN_S after it told that edge, in an
              answer, that it leaves
-  backoff    a back end that asked an edge to back off gets at most BACKOFF_ARRIVALS requests from it in that
+  backoff    a back end that asked an edge to back off gets at most MAX_BACKOFF_ARRIVALS requests from it in that
              time, but for what was on its way
   streams    a stream that has begun ends whole, unless an engine broke it off or its time was over
   entries    nothing is sent to what a bad entry of the list names
-  crashing   a request under which three engines ended reaches none later than CALM_S after the third
+  crashing   a request under which three engines ended reaches none later than STORE_SETTLE_S after the third
   others     no other request is refused as one that crashes engines
   planned    a stopped edge ends by itself with status 0, and cuts no request that it has read
   alive      no process ends without being told to
@@ -44,39 +44,39 @@
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import platform_standin as standin  # noqa: E402
-import platform_test as fleet  # noqa: E402
+import platform_test as platform  # noqa: E402
 import soak_checks as checks  # noqa: E402
 import soak_clients as clients  # noqa: E402
 
-SERVES_ON_S = 3.0    # for which a back end that leaves still serves
+SERVING_AFTER_LEAVE_S = 3.0    # for which a back end that leaves still serves
 RECOVERY_S = 12.0    # the platform's bound
 NEXT_WEIGHTS_S = 2.5  # between two versions; the first engine's turn is 2 s after one is named
 CLIENTS = 8
-PATIENT_CLIENTS = 4
+LONG_STREAM_CLIENTS = 4
 TRAP_PORT = 8106     # where bad entries lead, each to an address of its own
 FAULT_GAP_S = (0.3, 1.2)
 CRASHING_GAP_S = (2.0, 5.0)  # between the first coming of two requests that end engines
 STATEMENT_GAP_S = (0.4, 1.5)  # between two faults of back ends that say something of themselves
 LINK_GAP_S = (0.8, 2.5)  # between two faults of links
 LEAVING_GAP_S = (0.8, 2.0)  # between two faults of entries and of all gateways
-LATE_ENTRY_S = 0.5     # after the entry that says it leaves, the older one is written
-CRASH_TIME_MOST_S = 2.0  # from the begin of a request to the end of its engine, where it is drawn
+LATE_ENTRY_DELAY_S = 0.5     # after the entry that says it leaves, the older one is written
+MAX_CRASH_TIME_S = 2.0  # from the begin of a request to the end of its engine, where it is drawn
 BACKOFFS_S = (0.7, 1.5, 3.0, 6.0)
 
 
-class Slack(threading.Thread):
+class SlackMeter(threading.Thread):
     """How late this process wakes from short sleeps, at most: a measure of the machine's load."""
 
     def __init__(self):
         super().__init__(daemon=True)
-        self.most = 0.0
+        self.max_s = 0.0
         self.start()
 
     def run(self):
         while True:
             before = time.monotonic()
             time.sleep(0.02)
-            self.most = max(self.most, time.monotonic() - before - 0.02)
+            self.max_s = max(self.max_s, time.monotonic() - before - 0.02)
 
 
 class Soak(checks.Checks):
@@ -94,20 +94,20 @@
         self.seconds = options.seconds
         self.only = options.only
         self.work = work
-        self.over = threading.Event()
-        self.slack = Slack()
+        self.stop_requested = threading.Event()
+        self.slack = SlackMeter()
         self.findings = []
-        self.starts = []          # every back end that ever began
-        self.left_at = {}         # identity -> time at which the store said that it leaves
+        self.backend_starts = []          # every back end that ever began
+        self.leaving_since = {}         # identity -> time at which the store said that it leaves
         self.live = {}            # address -> back end
-        self.closed = set()       # edges that were told to stop, or are away
-        self.trouble_until = 0.0  # of the store
-        self.troubles = []        # (begin, end) of the store's
-        self.away = []            # (edge, begin, end): killed, stopped or frozen, and 3 s after
-        self.stops = []           # (edge, time of SIGTERM)
+        self.unavailable_edges = set()       # edges that were told to stop, or are away
+        self.store_fault_until = 0.0  # of the store
+        self.store_faults = []        # (begin, end) of the store's
+        self.edge_outages = []            # (edge, begin, end): killed, stopped or frozen, and 3 s after
+        self.edge_stops = []           # (edge, time of SIGTERM)
         self.timers = []          # ends of faults
-        self.bad_names = {}       # name of a bad entry -> address in it
-        self.stopping = []        # threads that wait for a stop
+        self.bad_entry_addresses = {}       # name of a bad entry -> address in it
+        self.stop_threads = []        # threads that wait for a stop
         self.edges, self.loaders = {}, {}
         self.version = 1          # of the configuration
         self.weights = 1
@@ -118,7 +118,7 @@
               "store_busy", "edge_kill", "edge_term", "edge_freeze", "loader_kill", "loader_freeze",
               "answers", "config", "weights")
 
-    def draw(self):
+    def draw_schedule(self):
         schedule, at = [], 1.0
         while at < self.seconds:
             schedule.append({"number": len(schedule), "at": round(at, 2),
@@ -141,89 +141,89 @@
 
     def draw_crashing(self, schedule):
         """Beside the others, which stay as they are."""
-        chance = random.Random("crashing %d" % self.seed)
+        rng = random.Random("crashing %d" % self.seed)
         at = 1.5
         while at < self.seconds:
             schedule.append({"number": len(schedule), "at": round(at, 2), "kind": "crashing",
-                             "which": chance.randrange(1000), "for_s": clients.CRASHING_FOR_S})
-            at += chance.uniform(*CRASHING_GAP_S)
+                             "which": rng.randrange(1000), "for_s": clients.CRASHING_FOR_S})
+            at += rng.uniform(*CRASHING_GAP_S)
 
     def draw_statements(self, schedule):
         """Beside the others, which stay as they are."""
-        chance = random.Random("statements %d" % self.seed)
+        rng = random.Random("statements %d" % self.seed)
         at = 1.2
         while at < self.seconds:
             schedule.append({"number": len(schedule), "at": round(at, 2),
-                             "kind": chance.choice(("say_leaving", "say_leaving_and_start_again",
+                             "kind": rng.choice(("say_leaving", "say_leaving_and_start_again",
                                                     "back_off", "back_off", "back_off_all")),
-                             "which": chance.randrange(1000), "for_s": chance.choice(BACKOFFS_S)})
-            at += chance.uniform(*STATEMENT_GAP_S)
+                             "which": rng.randrange(1000), "for_s": rng.choice(BACKOFFS_S)})
+            at += rng.uniform(*STATEMENT_GAP_S)
 
     def draw_links(self, schedule):
         """Beside the others, which stay as they are."""
-        chance = random.Random("links %d" % self.seed)
+        rng = random.Random("links %d" % self.seed)
         at = 1.4
         while at < self.seconds:
             schedule.append({"number": len(schedule), "at": round(at, 2),
-                             "kind": chance.choice(("link_silent", "link_silent_all", "link_slow",
+                             "kind": rng.choice(("link_silent", "link_silent_all", "link_slow",
                                                     "link_reset")),
-                             "which": chance.randrange(1000),
-                             "for_s": round(chance.uniform(0.2, 3.0), 2)})
-            at += chance.uniform(*LINK_GAP_S)
+                             "which": rng.randrange(1000),
+                             "for_s": round(rng.uniform(0.2, 3.0), 2)})
+            at += rng.uniform(*LINK_GAP_S)
 
     def draw_leaving(self, schedule):
         """Beside the others, which stay as they are."""
-        chance = random.Random("leaving %d" % self.seed)
+        rng = random.Random("leaving %d" % self.seed)
         at = 1.1
         while at < self.seconds:
             schedule.append({"number": len(schedule), "at": round(at, 2),
-                             "kind": chance.choice(("late_entry", "late_entry", "end_all")),
-                             "which": chance.randrange(1000),
-                             "for_s": round(chance.uniform(0.2, 2.0), 2)})
-            at += chance.uniform(*LEAVING_GAP_S)
+                             "kind": rng.choice(("late_entry", "late_entry", "end_all")),
+                             "which": rng.randrange(1000),
+                             "for_s": round(rng.uniform(0.2, 2.0), 2)})
+            at += rng.uniform(*LEAVING_GAP_S)
 
     # --- the world
 
-    def begin_backend(self, address, service, version=None):
-        identity = "b%d-%s" % (len(self.starts), address[0])
+    def start_backend(self, address, service, version=None):
+        identity = "b%d-%s" % (len(self.backend_starts), address[0])
         backend = standin.Backend(address, identity, self.store, service, version)
         self.add_backend(backend)
 
     def add_backend(self, backend):
         backend.crashing_bodies = self.crashing_bodies
         backend.crash_times = self.crash_times
-        self.starts.append(backend)
+        self.backend_starts.append(backend)
         self.live[backend.address] = backend
 
-    def open(self):
-        self.store = standin.Store(fleet.STORE)
-        self.origin = standin.Origin(fleet.ORIGIN)
-        for index, ip in enumerate(fleet.SIDES):
-            self.begin_backend((ip, fleet.ENGINE), "llm", 1)
-        for ip in fleet.PLAIN:
-            self.begin_backend((ip, fleet.ENGINE), "records")
-        self.begin_trap()
+    def start_cluster(self):
+        self.store = standin.Store(platform.STORE)
+        self.origin = standin.Origin(platform.ORIGIN)
+        for index, ip in enumerate(platform.ENGINE_IPS):
+            self.start_backend((ip, platform.ENGINE_PORT), "llm", 1)
+        for ip in platform.PLAIN_IPS:
+            self.start_backend((ip, platform.ENGINE_PORT), "records")
+        self.start_trap_backend()
         self.put_configuration()
-        self.edges = {ip: fleet.edge(ip) for ip in fleet.EDGES}
-        self.loaders = {ip: fleet.loader(ip) for ip in fleet.SIDES}
-        fleet.wait_for(self.all_ready, "ready edges")
-        fleet.wait_for(lambda: fleet.ask("POST", "/stream/1", b"x").status == 200, "a stream")
+        self.edges = {ip: platform.edge(ip) for ip in platform.EDGE_IPS}
+        self.loaders = {ip: platform.loader(ip) for ip in platform.ENGINE_IPS}
+        platform.wait_for(self.all_ready, "ready edges")
+        platform.wait_for(lambda: platform.send_request("POST", "/stream/1", b"x").status == 200, "a stream")
 
-    def begin_trap(self):
+    def start_trap_backend(self):
         """A back end that the list never names in a valid entry."""
         self.trap = standin.Backend(("0.0.0.0", TRAP_PORT), "trap", self.store, "records", state="gone")
 
     def put_configuration(self):
         """All routes allow two attempts: what keeps an unrepeatable request from the second is its kind."""
-        configuration = fleet.configuration(self.version)
+        configuration = platform.configuration(self.version)
         for route in configuration["routes"]:
             route["attempts"] = 2
             if self.with_links:
-                route["timeout_ms"] = int(1000 * clients.Patient.DEADLINE_S)
+                route["timeout_ms"] = int(1000 * clients.LongStreamClient.DEADLINE_S)
         self.store.put("op/config", configuration)
 
     def all_ready(self):
-        return all(fleet.get(ip, fleet.READY, "/api/readiness")[0] == 200 for ip in fleet.EDGES)
+        return all(platform.get(ip, platform.READY_PORT, "/api/readiness")[0] == 200 for ip in platform.EDGE_IPS)
 
     def close(self):
         for node in list(self.edges.values()) + list(self.loaders.values()):
@@ -235,11 +235,11 @@
             server.server_close()
 
     def is_open(self, edge):
-        return edge not in self.closed
+        return edge not in self.unavailable_edges
 
     # --- faults
 
-    def later(self, seconds, action, *arguments):
+    def run_after(self, seconds, action, *arguments):
         timer = threading.Timer(seconds, action, arguments)
         timer.daemon = True
         timer.start()
@@ -247,107 +247,107 @@
 
     def pick_backend(self, fault):
         """One that is listed and whose service keeps another one."""
-        choices = [b for b in self.live.values() if b.identity not in self.left_at and
-                   sum(o.service == b.service and o.identity not in self.left_at
+        choices = [b for b in self.live.values() if b.identity not in self.leaving_since and
+                   sum(o.service == b.service and o.identity not in self.leaving_since
                        for o in self.live.values()) > 1]
         return choices[fault["which"] % len(choices)] if choices else None
 
-    def replace(self, backend):
+    def replace_backend(self, backend):
         """The back end ends; another one begins at its address, empty if it is an engine."""
         backend.crash()
         version = None
-        self.begin_backend(backend.address, backend.service, version)
+        self.start_backend(backend.address, backend.service, version)
 
-    def note_leaving(self, backend):
-        self.left_at[backend.identity] = time.monotonic()
+    def record_leaving(self, backend):
+        self.leaving_since[backend.identity] = time.monotonic()
 
     def fault_drain(self, fault):
         backend = self.pick_backend(fault)
         if backend:
-            backend.list("draining")
-            self.note_leaving(backend)
-            self.later(SERVES_ON_S, self.end_backend, backend)
+            backend.publish_entry("draining")
+            self.record_leaving(backend)
+            self.run_after(SERVING_AFTER_LEAVE_S, self.end_backend, backend)
 
     def fault_leave(self, fault):
         backend = self.pick_backend(fault)
         if backend:
             backend.leave()
-            self.note_leaving(backend)
-            self.later(SERVES_ON_S, self.replace, backend)
+            self.record_leaving(backend)
+            self.run_after(SERVING_AFTER_LEAVE_S, self.replace_backend, backend)
 
     def fault_late_entry(self, fault):
         """The entry of before it said that it leaves is written after the one that says so."""
         backend = self.pick_backend(fault)
         if backend:
-            backend.list("draining")
-            self.note_leaving(backend)
-            self.later(LATE_ENTRY_S, backend.write_entry, "ready", backend.sequence - 1)
-            self.later(checks.DRAIN_S + fault["for_s"], self.end_backend, backend)
+            backend.publish_entry("draining")
+            self.record_leaving(backend)
+            self.run_after(LATE_ENTRY_DELAY_S, backend.write_entry, "ready", backend.sequence - 1)
+            self.run_after(checks.DRAIN_S + fault["for_s"], self.end_backend, backend)
 
     def fault_say_leaving(self, fault):
         """It says so in its answers alone, serves on for longer than the bound, and ends."""
         backend = self.pick_backend(fault)
         if backend:
-            backend.say_leaving()
-            self.left_at[backend.identity] = float("inf")  # the store says nothing
-            self.later(checks.DRAIN_S + fault["for_s"], self.end_backend, backend)
+            backend.announce_leaving()
+            self.leaving_since[backend.identity] = float("inf")  # the store says nothing
+            self.run_after(checks.DRAIN_S + fault["for_s"], self.end_backend, backend)
 
     def fault_say_leaving_and_start_again(self, fault):
         """Its next start, under the same id, does not leave."""
         backend = self.pick_backend(fault)
         if backend:
-            backend.say_leaving()
-            self.left_at[backend.identity] = float("inf")
-            self.later(fault["for_s"], self.start_again, backend)
+            backend.announce_leaving()
+            self.leaving_since[backend.identity] = float("inf")
+            self.run_after(fault["for_s"], self.restart_backend, backend)
 
-    def start_again(self, backend):
+    def restart_backend(self, backend):
         backend.crash()
-        self.left_at.pop(backend.identity, None)
+        self.leaving_since.pop(backend.identity, None)
         self.add_backend(standin.Backend(backend.address, backend.identity, self.store,
                                          backend.service))
 
     def fault_back_off(self, fault):
-        self.any_backend(fault).back_off(fault["for_s"])
+        self.pick_any_backend(fault).start_backoff(fault["for_s"])
 
     def fault_back_off_all(self, fault):
-        for backend in self.of_one_service(fault):
-            backend.back_off(fault["for_s"])
+        for backend in self.backends_of_one_service(fault):
+            backend.start_backoff(fault["for_s"])
 
-    def of_one_service(self, fault):
+    def backends_of_one_service(self, fault):
         service = ("llm", "records")[fault["which"] % 2]
         return [backend for backend in self.live.values() if backend.service == service]
 
-    def any_backend(self, fault):
+    def pick_any_backend(self, fault):
         return list(self.live.values())[fault["which"] % len(self.live)]
 
     def fault_link_silent(self, fault):
-        self.any_backend(fault).disturb_link(fault["for_s"], silent=True)
+        self.pick_any_backend(fault).disturb_link(fault["for_s"], silent=True)
 
     def fault_link_silent_all(self, fault):
         """All of one service: whoever goes elsewhere finds the same."""
-        for backend in self.of_one_service(fault):
+        for backend in self.backends_of_one_service(fault):
             backend.disturb_link(fault["for_s"], silent=True)
 
     def fault_link_slow(self, fault):
-        backend = self.any_backend(fault)
+        backend = self.pick_any_backend(fault)
         backend.disturb_link(fault["for_s"], silent=False)
-        self.later(fault["for_s"], backend.calm_link)
+        self.run_after(fault["for_s"], backend.restore_link)
 
     def fault_link_reset(self, fault):
-        self.any_backend(fault).reset_link()
+        self.pick_any_backend(fault).reset_link()
 
     def fault_crash(self, fault):
         backend = self.pick_backend(fault)
         if backend:
-            self.left_at[backend.identity] = float("inf")  # nothing can begin there any more
-            self.later(SERVES_ON_S, backend.leave)
-            self.replace(backend)
+            self.leaving_since[backend.identity] = float("inf")  # nothing can begin there any more
+            self.run_after(SERVING_AFTER_LEAVE_S, backend.leave)
+            self.replace_backend(backend)
 
     def fault_start_again(self, fault):
         """It starts again under its id, at once, and holds nothing of before."""
         backend = self.pick_backend(fault)
         if backend:
-            self.start_again(backend)
+            self.restart_backend(backend)
 
     def fault_bad_entries(self, fault):
         """Entries of other writers beside good ones, and one in place of a good one for a while."""
@@ -363,114 +363,114 @@
         backend = self.pick_backend(fault)
         if backend:
             self.store.put_bytes("servers/" + backend.identity, b"{}")
-            self.later(fault["for_s"], backend.list)
+            self.run_after(fault["for_s"], backend.publish_entry)
 
     def put_bad(self, name, value):
-        self.bad_names.setdefault(name, "127.9.6.%d:%d" % (1 + len(self.bad_names), TRAP_PORT))
+        self.bad_entry_addresses.setdefault(name, "127.9.6.%d:%d" % (1 + len(self.bad_entry_addresses), TRAP_PORT))
         if value.get("address") == "":
-            value = dict(value, address=self.bad_names[name])
+            value = dict(value, address=self.bad_entry_addresses[name])
         self.store.put("servers/bad-" + name, value)
 
     def end_backend(self, backend):
         backend.leave()
-        self.replace(backend)
+        self.replace_backend(backend)
 
     def fault_store_silent(self, fault):
-        self.change_store("silent", fault["for_s"])
+        self.set_store_fault("silent", fault["for_s"])
 
     def fault_store_busy(self, fault):
-        self.change_store("busy", fault["for_s"])
+        self.set_store_fault("busy", fault["for_s"])
 
-    def change_store(self, mode, seconds):
+    def set_store_fault(self, mode, seconds):
         self.store.mode = mode
-        self.trouble_until = max(self.trouble_until, time.monotonic() + seconds)
-        self.troubles.append((time.monotonic(), time.monotonic() + seconds))
-        self.later(seconds, self.calm_store)
+        self.store_fault_until = max(self.store_fault_until, time.monotonic() + seconds)
+        self.store_faults.append((time.monotonic(), time.monotonic() + seconds))
+        self.run_after(seconds, self.end_store_fault)
 
-    def calm_store(self):
-        if time.monotonic() >= self.trouble_until - 0.01:
+    def end_store_fault(self):
+        if time.monotonic() >= self.store_fault_until - 0.01:
             self.store.mode = "good"
 
     def pick_edge(self, fault):
         """None while another one is away: somebody has to serve."""
-        if self.closed:
+        if self.unavailable_edges:
             return None
-        ip = fleet.EDGES[fault["which"] % len(fleet.EDGES)]
-        self.closed.add(ip)
-        self.away.append([ip, time.monotonic(), float("inf")])
+        ip = platform.EDGE_IPS[fault["which"] % len(platform.EDGE_IPS)]
+        self.unavailable_edges.add(ip)
+        self.edge_outages.append([ip, time.monotonic(), float("inf")])
         return ip
 
-    def reopen(self, ip):
-        self.closed.discard(ip)
-        for entry in self.away:
+    def mark_edge_available(self, ip):
+        self.unavailable_edges.discard(ip)
+        for entry in self.edge_outages:
             if entry[0] == ip and entry[2] == float("inf"):
-                entry[2] = time.monotonic() + checks.CALM_S
+                entry[2] = time.monotonic() + checks.STORE_SETTLE_S
 
     def restart(self, nodes, ip):
         nodes[ip].start()
-        self.later(1.5, self.reopen, ip)
+        self.run_after(1.5, self.mark_edge_available, ip)
 
     def fault_edge_kill(self, fault):
         ip = self.pick_edge(fault)
         if ip:
             self.edges[ip].stop()
-            self.later(fault["for_s"], self.restart, self.edges, ip)
+            self.run_after(fault["for_s"], self.restart, self.edges, ip)
 
     def fault_end_all(self, fault):
         """All gateways are killed at one moment, unless one is away."""
-        if self.closed:
+        if self.unavailable_edges:
             return
-        for ip in fleet.EDGES:
-            self.closed.add(ip)
-            self.away.append([ip, time.monotonic(), float("inf")])
-        for ip in fleet.EDGES:
+        for ip in platform.EDGE_IPS:
+            self.unavailable_edges.add(ip)
+            self.edge_outages.append([ip, time.monotonic(), float("inf")])
+        for ip in platform.EDGE_IPS:
             self.edges[ip].process.kill()
-        for ip in fleet.EDGES:
+        for ip in platform.EDGE_IPS:
             self.edges[ip].stop()
-            self.later(fault["for_s"], self.restart, self.edges, ip)
+            self.run_after(fault["for_s"], self.restart, self.edges, ip)
 
     def fault_edge_term(self, fault):
-        if not self.closed:
+        if not self.unavailable_edges:
             for backend in self.live.values():
                 if backend.service == "llm":
                     backend.faults.extend(["slow"] * 3)  # so that streams are under way
             time.sleep(0.3)
         ip = self.pick_edge(fault)
         if ip:
-            self.stops.append((ip, time.monotonic()))
+            self.edge_stops.append((ip, time.monotonic()))
             self.edges[ip].process.send_signal(signal.SIGTERM)
             stop = threading.Thread(target=self.await_stop, args=(ip,), daemon=True)
             stop.start()
-            self.stopping.append(stop)
+            self.stop_threads.append(stop)
 
     def await_stop(self, ip):
-        status = self.edges[ip].process.wait(timeout=checks.GRACE_S + self.slack.most + 5)
+        status = self.edges[ip].process.wait(timeout=checks.STOP_GRACE_S + self.slack.max_s + 5)
         if status:
-            self.find("planned", "edge %s ended with %s after SIGTERM" % (ip, status))
+            self.add_finding("planned", "edge %s ended with %s after SIGTERM" % (ip, status))
         self.restart(self.edges, ip)
 
     def freeze(self, node, seconds):
         process = node.process
         process.send_signal(signal.SIGSTOP)
-        self.later(seconds, process.send_signal, signal.SIGCONT)
+        self.run_after(seconds, process.send_signal, signal.SIGCONT)
 
     def fault_edge_freeze(self, fault):
         ip = self.pick_edge(fault)
         if ip:
             self.freeze(self.edges[ip], fault["for_s"])
-            self.later(fault["for_s"] + checks.CALM_S, self.reopen, ip)
+            self.run_after(fault["for_s"] + checks.STORE_SETTLE_S, self.mark_edge_available, ip)
 
     def fault_loader_kill(self, fault):
-        ip = fleet.SIDES[fault["which"] % len(fleet.SIDES)]
+        ip = platform.ENGINE_IPS[fault["which"] % len(platform.ENGINE_IPS)]
         self.loaders[ip].stop()
         self.loaders[ip].start()
 
     def fault_loader_freeze(self, fault):
-        self.freeze(self.loaders[fleet.SIDES[fault["which"] % len(fleet.SIDES)]], fault["for_s"])
+        self.freeze(self.loaders[platform.ENGINE_IPS[fault["which"] % len(platform.ENGINE_IPS)]], fault["for_s"])
 
     def fault_answers(self, fault):
         words = ("reset", "error", "silent", "unsealed", "foreign", "shed", "torn", "slow", "pause")
-        backend = self.any_backend(fault)
+        backend = self.pick_any_backend(fault)
         backend.faults.extend([words[fault["which"] % len(words)]] * 3)
 
     def fault_pause(self, fault):
@@ -481,9 +481,9 @@
     def fault_crashing(self, fault):
         number = len(self.crashing)
         if self.with_crash_times:
-            chance = random.Random("crash time %d %d" % (self.seed, number))
-            self.crash_times[clients.Crashing.body_of(number)] = chance.uniform(0.0, CRASH_TIME_MOST_S)
-        caller = clients.Crashing(self, number)
+            rng = random.Random("crash time %d %d" % (self.seed, number))
+            self.crash_times[clients.CrashingClient.body_of(number)] = rng.uniform(0.0, MAX_CRASH_TIME_S)
+        caller = clients.CrashingClient(self, number)
         self.crashing_bodies.add(caller.body)
         self.crashing.append(caller)
 
@@ -494,13 +494,13 @@
     def fault_weights(self, fault):
         """Every second time, each engine's next order gets no answer and is taken later; one more
         version is named when the first engines were ordered to take this one."""
-        self.name_weights()
+        self.publish_next_weights()
         if fault["which"] % 2:
             for backend in self.live.values():
                 backend.orders_to_hold = 1
-            self.later(NEXT_WEIGHTS_S, self.name_weights)
+            self.run_after(NEXT_WEIGHTS_S, self.publish_next_weights)
 
-    def name_weights(self):
+    def publish_next_weights(self):
         self.weights += 1
         self.origin.newest = self.weights
         self.store.put("op/version/" + standin.MODEL,
@@ -509,65 +509,65 @@
     # --- play
 
     def play(self):
-        schedule = self.draw()
+        schedule = self.draw_schedule()
         try:
-            self.open()
-            self.play_faults(schedule)
-            self.await_faults()
+            self.start_cluster()
+            self.inject_faults(schedule)
+            self.await_fault_ends()
             self.store.mode = "good"
             self.await_recovery()
-            self.over.set()
+            self.stop_requested.set()
             for client in self.clients:
                 client.join(timeout=10)
             self.check()
         finally:
-            self.over.set()
+            self.stop_requested.set()
             self.close()
 
-    def play_faults(self, schedule):
+    def inject_faults(self, schedule):
         self.clients = [clients.Client(self, number) for number in range(CLIENTS)]
         if self.with_links:
-            self.clients += [clients.Patient(self, CLIENTS + n) for n in range(PATIENT_CLIENTS)]
+            self.clients += [clients.LongStreamClient(self, CLIENTS + n) for n in range(LONG_STREAM_CLIENTS)]
         begin = time.monotonic()
         for fault in schedule:
             time.sleep(max(0, begin + fault["at"] - time.monotonic()))
             getattr(self, "fault_" + fault["kind"])(fault)
             self.check_alive()
 
-    def await_faults(self):
+    def await_fault_ends(self):
         """The end of a fault may set a timer again, for example for a restart."""
-        while self.timers or self.stopping:
-            pending = self.timers + self.stopping
-            self.timers, self.stopping = [], []
+        while self.timers or self.stop_threads:
+            pending = self.timers + self.stop_threads
+            self.timers, self.stop_threads = [], []
             for thread in pending:
                 thread.join()
 
     def check_alive(self):
         for ip, node in list(self.edges.items()) + list(self.loaders.items()):
             status = node.process.poll()
-            if status is not None and ip not in self.closed:
-                self.find("alive", "%s ended with %s" % (ip, status))
+            if status is not None and ip not in self.unavailable_edges:
+                self.add_finding("alive", "%s ended with %s" % (ip, status))
 
     def await_recovery(self):
-        end = time.monotonic() + RECOVERY_S + self.slack.most
+        end = time.monotonic() + RECOVERY_S + self.slack.max_s
         while time.monotonic() < end:
             recent = [r for c in self.clients for r in c.results[-3:]
                       if r.sent > time.monotonic() - 2]
             if len(recent) >= CLIENTS and all(r.status == 200 for r in recent):
                 return
             time.sleep(0.2)
-        self.find("recovery", "not all requests are served %.1f s after the last fault" % RECOVERY_S)
+        self.add_finding("recovery", "not all requests are served %.1f s after the last fault" % RECOVERY_S)
 
 
 
-def play_seed(options, seed):
-    fleet.OPTIONS = argparse.Namespace(build=options.build,
+def run_seed(options, seed):
+    platform.OPTIONS = argparse.Namespace(build=options.build,
                                        work=os.path.join(options.work, "seed-%d" % seed))
-    os.makedirs(fleet.OPTIONS.work, exist_ok=True)
-    soak = Soak(seed, options, fleet.OPTIONS.work)
+    os.makedirs(platform.OPTIONS.work, exist_ok=True)
+    soak = Soak(seed, options, platform.OPTIONS.work)
     soak.play()
     print("seed %d: %d requests, %d served, slack %.0f ms, %d findings" %
-          (seed, soak.counts[0], soak.counts[1], 1000 * soak.slack.most, len(soak.findings)),
+          (seed, soak.counts[0], soak.counts[1], 1000 * soak.slack.max_s, len(soak.findings)),
           flush=True)
     for finding in soak.findings[:10]:
         print("  " + finding, flush=True)
@@ -601,7 +601,7 @@
                         help="late entries of back ends that leave and ends of all gateways come besides")
     options = parser.parse_args()
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(1))  # ends own children on the way
-    good = [play_seed(options, seed) for seed in read_seeds(options.seeds)]
+    good = [run_seed(options, seed) for seed in read_seeds(options.seeds)]
     print("%d passed, %d failed" % (sum(good), len(good) - sum(good)))
     sys.exit(0 if all(good) else 1)
 
--- a/tests/system/soak_clients.py
+++ b/tests/system/soak_clients.py
@@ -8,10 +8,10 @@
 import typing
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
-import platform_test as fleet  # noqa: E402
+import platform_test as platform  # noqa: E402
 
 DEADLINE_S = 2.0
-SPARE_S = 2.0            # for which a client waits longer than the deadline that it gives
+CLIENT_TIMEOUT_MARGIN_S = 2.0            # for which a client waits longer than the deadline that it gives
 CRASHING_REPEAT_S = 0.2
 CRASHING_FOR_S = 9.0     # beyond the bound on what reaches engines after the third end
 COMMON_STREAMS = 4       # that all clients send, beside others of which each comes once
@@ -39,13 +39,13 @@
     KINDS = (("get", "GET"), ("put", "POST"), ("stream", "POST"))  # kind of request, method
     DEADLINE_S = DEADLINE_S
     QUERY = ""
-    STREAM = fleet.whole_stream()
+    STREAM = platform.whole_stream()
 
     def __init__(self, soak, number):
         super().__init__(daemon=True)
         self.soak = soak
         self.random = random.Random(soak.seed * 1000 + number)
-        self.common = random.Random("common %d %d" % (soak.seed, number))
+        self.common_rng = random.Random("common %d %d" % (soak.seed, number))
         self.number = number
         self.connection = None
         self.edge = None
@@ -54,16 +54,16 @@
 
     def run(self):
         count = 0
-        while not self.soak.over.is_set():
+        while not self.soak.stop_requested.is_set():
             count += 1
             self.send("c%02d-%06d" % (self.number, count))
             time.sleep(self.random.uniform(0.005, 0.03))
 
     def connect(self):
-        edges = [ip for ip in fleet.EDGES if self.soak.is_open(ip)] or fleet.EDGES
+        edges = [ip for ip in platform.EDGE_IPS if self.soak.is_open(ip)] or platform.EDGE_IPS
         self.edge = self.random.choice(edges)
-        self.connection = http.client.HTTPConnection(self.edge, fleet.FRONT,
-                                                     timeout=self.DEADLINE_S + SPARE_S)
+        self.connection = http.client.HTTPConnection(self.edge, platform.CLIENT_PORT,
+                                                     timeout=self.DEADLINE_S + CLIENT_TIMEOUT_MARGIN_S)
 
     def send(self, identity):
         kind, method = self.random.choice(self.KINDS)
@@ -93,8 +93,8 @@
 
     def name_of(self, kind, identity):
         """By which gateways take it for the same request as others, or not."""
-        if kind == "stream" and self.common.random() < COMMON_SHARE:
-            return "common-%d" % self.common.randrange(COMMON_STREAMS)
+        if kind == "stream" and self.common_rng.random() < COMMON_SHARE:
+            return "common-%d" % self.common_rng.randrange(COMMON_STREAMS)
         return identity
 
     def is_whole(self, kind, path, body, data):
@@ -103,7 +103,7 @@
         return data == b"answer to " + path.encode() + b" " + (body or b"")
 
 
-class Patient(Client):
+class LongStreamClient(Client):
     """Reads long streams, and gives them much more time than they take: a link that falls silent does so
     under some of them, and they can end whole afterwards."""
 
@@ -111,10 +111,10 @@
     DEADLINE_S = 8.0
     EVENTS, GAP_MS = 30, 60
     QUERY = "?events=%d&gap_ms=%d" % (EVENTS, GAP_MS)
-    STREAM = fleet.whole_stream(1, EVENTS)
+    STREAM = platform.whole_stream(1, EVENTS)
 
 
-class Crashing(threading.Thread):
+class CrashingClient(threading.Thread):
     """A caller whose request ends each engine that runs it, and comes again under new ids."""
 
     @staticmethod
@@ -127,26 +127,26 @@
         self.body = self.body_of(number)
         self.random = random.Random(soak.seed * 1000 + number)
         self.edges = {}  # id of a request -> the edge that it was sent to
-        self.query = self.outlasting(soak.crash_times.get(self.body))
+        self.query = self.stream_query(soak.crash_times.get(self.body))
         self.start()
 
     @staticmethod
-    def outlasting(seconds):
+    def stream_query(seconds):
         """For a stream that goes on for longer than its engine; without a time the engine decides."""
         if seconds is None:
             return ""
-        return "?events=%d&gap_ms=%d" % (10 + 1000 * seconds / Patient.GAP_MS, Patient.GAP_MS)
+        return "?events=%d&gap_ms=%d" % (10 + 1000 * seconds / LongStreamClient.GAP_MS, LongStreamClient.GAP_MS)
 
     def run(self):
         end = time.monotonic() + CRASHING_FOR_S
-        while time.monotonic() < end and not self.soak.over.is_set():
+        while time.monotonic() < end and not self.soak.stop_requested.is_set():
             identity = "%s-%03d" % (self.body.decode(), len(self.edges))
-            self.edges[identity] = self.random.choice(fleet.EDGES)
+            self.edges[identity] = self.random.choice(platform.EDGE_IPS)
             threading.Thread(target=self.send, args=(identity,), daemon=True).start()
             time.sleep(CRASHING_REPEAT_S)
 
     def send(self, identity):
-        connection = http.client.HTTPConnection(self.edges[identity], fleet.FRONT, timeout=4)
+        connection = http.client.HTTPConnection(self.edges[identity], platform.CLIENT_PORT, timeout=4)
         try:
             connection.request("POST", "/stream/" + self.body.decode() + self.query, self.body, {
                 "Host": "a.example", "Shuntrun-Request-Id": identity,
--- a/tests/system/standin_test.py
+++ b/tests/system/standin_test.py
@@ -16,8 +16,8 @@
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import platform_standin as standin  # noqa: E402
 
-STORE = ("127.9.7.1", 8100)
-ENGINE = ("127.9.7.2", 8105)
+STORE_ADDRESS = ("127.9.7.1", 8100)
+ENGINE_ADDRESS = ("127.9.7.2", 8105)
 
 
 def send_stream(connection, identity):
@@ -26,9 +26,9 @@
 
 class Ends(unittest.TestCase):
     def setUp(self):
-        self.store = standin.Store(STORE)
-        self.engine = standin.Backend(ENGINE, "engine", self.store, "llm", 1)
-        self.connection = http.client.HTTPConnection(*ENGINE, timeout=5)
+        self.store = standin.Store(STORE_ADDRESS)
+        self.engine = standin.Backend(ENGINE_ADDRESS, "engine", self.store, "llm", 1)
+        self.connection = http.client.HTTPConnection(*ENGINE_ADDRESS, timeout=5)
 
     def tearDown(self):
         self.connection.close()
@@ -51,7 +51,7 @@
         finally:
             standin.reset_connection = reset
         self.assertEqual(kept, [standin.whole_stream()])
-        self.assertIn("between", self.engine.broken_off)
+        self.assertIn("between", self.engine.aborted_streams)
 
 
 if __name__ == "__main__":
--- a/tests/system/statements_play.py
+++ b/tests/system/statements_play.py
@@ -22,7 +22,7 @@
 BACKOFF_GAP_S = (0.5, 2.0)
 LEAVE_GAP_S = (1.0, 4.0)
 ALL_BACKOFF_S = 12.0
-KNOWN_AFTER_S = 1.5   # each gateway has had a refusal of each engine by then
+ALL_REFUSED_AFTER_S = 1.5   # each gateway has had a refusal of each engine by then
 REFUSALS = 50         # timed, while all back off
 
 
@@ -33,12 +33,12 @@
     def runTest(self):
         """Played by main()."""
 
-    def begin_engine(self, index):
-        engine = super().begin_engine(index)
-        engine.list()  # with its slots
+    def start_engine(self, index):
+        engine = super().start_engine(index)
+        engine.publish_entry()  # with its slots
         return engine
 
-    def play_faults(self, chance, seconds):
+    def inject_faults(self, rng, seconds):
         third = self.ENGINES // 3
         leaving, backing_off = self.engines[:third], self.engines[third:2 * third]
         end = time.monotonic() + seconds
@@ -46,20 +46,20 @@
         next_leave = time.monotonic() + 1
         while time.monotonic() < end:
             if to_leave and time.monotonic() >= next_leave:
-                to_leave.pop().say_leaving()
-                next_leave = time.monotonic() + chance.uniform(*LEAVE_GAP_S)
-            engine = chance.choice(backing_off)
+                to_leave.pop().announce_leaving()
+                next_leave = time.monotonic() + rng.uniform(*LEAVE_GAP_S)
+            engine = rng.choice(backing_off)
             if time.monotonic() > engine.backoff_until:
-                engine.back_off(chance.choice(BACKOFFS_S))
-            time.sleep(chance.uniform(*BACKOFF_GAP_S))
+                engine.start_backoff(rng.choice(BACKOFFS_S))
+            time.sleep(rng.uniform(*BACKOFF_GAP_S))
         return leaving, backing_off
 
     def back_off_all(self):
         """All back off, under load until each gateway has had its first refusals."""
         for engine in self.engines:
-            engine.back_off(ALL_BACKOFF_S)
-        time.sleep(KNOWN_AFTER_S)
-        self.over.set()
+            engine.start_backoff(ALL_BACKOFF_S)
+        time.sleep(ALL_REFUSED_AFTER_S)
+        self.stop_requested.set()
         time.sleep(1)  # streams under way end; callers that wait to come back stay away
 
     def measure_refusals(self):
@@ -71,7 +71,7 @@
 
     def time_refusal(self, number):
         connection = http.client.HTTPConnection(self.gateway(number % self.GATEWAYS),
-                                                platform.FRONT, timeout=5)
+                                                platform.CLIENT_PORT, timeout=5)
         connection.connect()
         began = time.monotonic()
         connection.request("POST", "/stream/refused?events=5", b"x", {
@@ -87,20 +87,20 @@
         self.setUp()
         try:
             self.silence_the_store()
-            self.begin_load()
-            leaving, backing_off = self.play_faults(random.Random(seed), seconds)
+            self.start_client_load()
+            leaving, backing_off = self.inject_faults(random.Random(seed), seconds)
             whole, count = sum(r.whole for r in self.read), len(self.read)
             self.back_off_all()
             in_vain, times = self.measure_refusals()
             self.end_clients()
-            late = sum(len(self.late_at(engine)) for engine in leaving)
+            late = sum(len(self.late_arrivals(engine)) for engine in leaving)
             most = max(self.arrivals_in_backoffs(engine) for engine in backing_off)
             print("seed %d: %d of %d whole, %d sent too late to engines that leave, %d at most in a backoff; "
                   "all backing off: %d sends in vain, refusals in %.1f ms (median), %.1f ms (most)" %
                   (seed, whole, count, late, most, in_vain, times[len(times) // 2], times[-1]),
                   flush=True)
         finally:
-            self.over.set()
+            self.stop_requested.set()
             self.doCleanups()
 
 
--- a/tests/system/statements_test.py
+++ b/tests/system/statements_test.py
@@ -24,8 +24,8 @@
 import streams_test as streams  # noqa: E402
 
 DRAIN_S = 2.0        # after an answer that says so, requests of that gateway are too late
-BACKOFF_SETTLES_S = 0.5  # what was on its way when an engine asked to be left alone has arrived by then
-BACKOFF_ARRIVALS = 2    # requests of one gateway that an engine may get in the rest of its backoff
+BACKOFF_SETTLE_S = 0.5  # what was on its way when an engine asked to be left alone has arrived by then
+MAX_BACKOFF_ARRIVALS = 2    # requests of one gateway that an engine may get in the rest of its backoff
 WHOLE_SHARE = 0.99   # of the callers, while other engines have places
 
 
@@ -40,15 +40,15 @@
     EVENT_GAP_S = 0.03
     CLIENTS = 80
 
-    def read_stream(self, client, number, chance):
-        gateway = chance.randrange(self.GATEWAYS)
+    def read_stream(self, client, number, rng):
+        gateway = rng.randrange(self.GATEWAYS)
         reader = streams.Reader("g%d-c%03d-%04d" % (gateway, client, number),
-                                chance.randint(5, 25), self.gateway(gateway))
+                                rng.randint(5, 25), self.gateway(gateway))
         reader.join()
         return reader
 
-    def begin_load(self):
-        self.begin_clients(self.CLIENTS, self.read_stream)
+    def start_client_load(self):
+        self.start_clients(self.CLIENTS, self.read_stream)
         platform.wait_for(lambda: len(self.read) > self.CLIENTS, "streams read")
 
     def silence_the_store(self):
@@ -61,15 +61,15 @@
                                 collections.Counter(r.status for r in self.read))
 
     @staticmethod
-    def late_at(engine):
+    def late_arrivals(engine):
         """Requests that a gateway sent too late after an answer that said the engine leaves."""
-        told = {}
-        for identity, when, _ in engine.answers_leaving:
+        notified = {}
+        for identity, when, _ in engine.leaving_answers:
             if gateway_of(identity):
-                told.setdefault(gateway_of(identity), when)
+                notified.setdefault(gateway_of(identity), when)
         return [identity for identity, when, _ in engine.arrivals
-                if gateway_of(identity) in told and
-                when > told[gateway_of(identity)] + DRAIN_S]
+                if gateway_of(identity) in notified and
+                when > notified[gateway_of(identity)] + DRAIN_S]
 
     @staticmethod
     def arrivals_in_backoffs(engine):
@@ -78,41 +78,41 @@
         for asked_by, asked_at, seconds, _ in engine.backoffs:
             gateway = gateway_of(asked_by)
             most = max(most, sum(gateway_of(identity) == gateway and
-                                 asked_at + BACKOFF_SETTLES_S < when < asked_at + seconds
+                                 asked_at + BACKOFF_SETTLE_S < when < asked_at + seconds
                                  for identity, when, _ in engine.arrivals))
         return most
 
     def test_an_engine_that_leaves_gets_nothing_more(self):
         self.silence_the_store()
-        self.begin_load()
+        self.start_client_load()
         leaving = self.engines[:4]
         for engine in leaving:
-            engine.say_leaving()
+            engine.announce_leaving()
         time.sleep(DRAIN_S + 4)
         self.end_clients()
-        self.assertTrue(all(engine.answers_leaving for engine in leaving))
-        self.assertEqual([self.late_at(engine) for engine in leaving], [[]] * len(leaving))
+        self.assertTrue(all(engine.leaving_answers for engine in leaving))
+        self.assertEqual([self.late_arrivals(engine) for engine in leaving], [[]] * len(leaving))
         self.assert_callers_are_served()
 
     def test_an_engine_that_backs_off_is_left_alone(self):
-        self.begin_load()
+        self.start_client_load()
         backing_off = self.engines[:4]
         for seconds in (3.0, 1.2):
             for engine in backing_off:
-                engine.back_off(seconds)
+                engine.start_backoff(seconds)
             time.sleep(seconds + 1)
         self.end_clients()
         self.assertTrue(all(engine.backoffs for engine in backing_off))
-        self.assertLessEqual(max(self.arrivals_in_backoffs(e) for e in backing_off), BACKOFF_ARRIVALS)
+        self.assertLessEqual(max(self.arrivals_in_backoffs(e) for e in backing_off), MAX_BACKOFF_ARRIVALS)
         self.assert_callers_are_served()
         self.assertTrue(all(e.runs[-1][3] > e.backoff_until for e in backing_off), "used again")
 
     def test_a_service_that_backs_off_refuses_at_once_and_says_until_when(self):
-        self.begin_load()
+        self.start_client_load()
         backoff_s = 4.0
         until = time.monotonic() + backoff_s
         for engine in self.engines:
-            engine.back_off(backoff_s)
+            engine.start_backoff(backoff_s)
         time.sleep(1)
         arrivals = sum(len(engine.arrivals) for engine in self.engines)
         began = time.monotonic()
--- a/tests/system/streams_test.py
+++ b/tests/system/streams_test.py
@@ -24,13 +24,13 @@
 import platform_test as platform  # noqa: E402
 
 DEADLINE_MS = 6000
-STOOD_STILL_S = 1.5  # longer than a gateway bears the silence of an engine
+GATEWAY_PAUSE_S = 1.5  # longer than a gateway bears the silence of an engine
 EVENT_GAP_S = 0.1
 # For which the links to all engines are silent: longer than a gateway bears if another engine is sound.
 ALL_SILENT_S = 2.0
 # Between two streams of one client.
-SERVED_PAUSE_S = 0.02
-REFUSED_PAUSE_S = 0.3
+PAUSE_AFTER_SUCCESS_S = 0.02
+PAUSE_AFTER_FAILURE_S = 0.3
 # After a version was named, the least one allowed is this: 8 s less 1.1 s, and some for the news.
 OLD_VERSIONS_END_S = 7.3
 
@@ -38,14 +38,14 @@
 class Reader(threading.Thread):
     """One client that reads one stream."""
 
-    def __init__(self, identity, events, address=platform.EDGES[0]):
+    def __init__(self, identity, events, address=platform.EDGE_IPS[0]):
         super().__init__(daemon=True)
         self.identity, self.events, self.address = identity, events, address
         self.status, self.headers, self.body, self.error = None, {}, b"", None
         self.start()
 
     def run(self):
-        connection = http.client.HTTPConnection(self.address, platform.FRONT, timeout=10)
+        connection = http.client.HTTPConnection(self.address, platform.CLIENT_PORT, timeout=10)
         try:
             connection.request("POST", "/stream/%s?events=%d" % (self.identity, self.events), b"x", {
                 "Host": "a.example", "Shuntrun-Request-Id": self.identity,
@@ -83,18 +83,18 @@
     EVENT_GAP_S = EVENT_GAP_S
 
     def setUp(self):
-        self.log_begins = {}  # logs go on from one case to the next
+        self.log_offsets = {}  # logs go on from one case to the next
         self.store = standin.Store(platform.STORE)
         self.origin = standin.Origin(platform.ORIGIN)
-        self.engines = [self.begin_engine(index) for index in range(self.ENGINES)]
+        self.engines = [self.start_engine(index) for index in range(self.ENGINES)]
         self.store.put("op/config", configuration(1, self.SLOTS))
-        self.gateways = [self.begin_logged_gateway(self.gateway(n)) for n in range(self.GATEWAYS)]
+        self.gateways = [self.start_logged_gateway(self.gateway(n)) for n in range(self.GATEWAYS)]
         self.loaders = [platform.loader(engine.address[0]) for engine in self.engines]
         for node in self.gateways + self.loaders:
             self.addCleanup(node.stop)
         for owner in [self.store, self.origin] + self.engines:
             self.addCleanup(self.close, owner)
-        platform.wait_for(lambda: all(platform.get(self.gateway(n), platform.READY,
+        platform.wait_for(lambda: all(platform.get(self.gateway(n), platform.READY_PORT,
                                                    "/api/readiness")[0] == 200
                                       for n in range(self.GATEWAYS)), "ready gateways")
         platform.wait_for(self.is_served, "a stream")
@@ -102,7 +102,7 @@
     @staticmethod
     def close(owner):
         """An engine may have started again, and be about to."""
-        owner.returns = False
+        owner.will_restart = False
         owner.server.shutdown()
         owner.server.server_close()
 
@@ -110,22 +110,22 @@
     def gateway(number):
         return "127.9.1.%d" % (number + 1)
 
-    def begin_gateway(self, address):
+    def start_gateway(self, address):
         return platform.edge(address)
 
-    def begin_logged_gateway(self, address):
+    def start_logged_gateway(self, address):
         path = platform.log_path("edge", address)
-        self.log_begins[address] = os.path.getsize(path) if os.path.exists(path) else 0
-        return self.begin_gateway(address)
+        self.log_offsets[address] = os.path.getsize(path) if os.path.exists(path) else 0
+        return self.start_gateway(address)
 
     def log_lines(self, gateway):
         """What a gateway has written in this case."""
         with open(gateway.log_path) as log:
-            log.seek(self.log_begins[gateway.address])
+            log.seek(self.log_offsets[gateway.address])
             return log.readlines()
 
-    def begin_engine(self, index):
-        address = ("127.9.2.%d" % (index + 1), platform.ENGINE)
+    def start_engine(self, index):
+        address = ("127.9.2.%d" % (index + 1), platform.ENGINE_PORT)
         engine = standin.Backend(address, "engine-%d" % index, self.store, "llm", 1)
         engine.event_gap_s = self.EVENT_GAP_S
         engine.slots = self.SLOTS
@@ -137,24 +137,24 @@
         reader.join()
         return reader.whole
 
-    def name_version(self, version):
+    def publish_version(self, version):
         self.origin.newest = version
         self.store.put("op/version/" + standin.MODEL, {"model": standin.MODEL, "version": version})
 
-    def begin_clients(self, count, read):
+    def start_clients(self, count, read):
         """Clients that each read streams one after the other, until end_clients(); `read` gets the
         client's number, the stream's, and random numbers, and returns a Reader that has ended."""
-        self.over = threading.Event()
+        self.stop_requested = threading.Event()
         self.read = []
 
         def read_streams(number):
-            chance = random.Random(number)
+            rng = random.Random(number)
             stream = 0
-            while not self.over.is_set():
+            while not self.stop_requested.is_set():
                 stream += 1
-                reader = read(number, stream, chance)
+                reader = read(number, stream, rng)
                 self.read.append(reader)
-                time.sleep(REFUSED_PAUSE_S if reader.status != 200 else SERVED_PAUSE_S)
+                time.sleep(PAUSE_AFTER_FAILURE_S if reader.status != 200 else PAUSE_AFTER_SUCCESS_S)
 
         self.clients = [threading.Thread(target=read_streams, args=(n,), daemon=True)
                         for n in range(count)]
@@ -162,7 +162,7 @@
             client.start()
 
     def end_clients(self):
-        self.over.set()
+        self.stop_requested.set()
         for client in self.clients:
             client.join()
 
@@ -172,7 +172,7 @@
     def engine_of(self, identity):
         return next((e for e in self.engines if any(r[0] == identity for r in e.runs)), None)
 
-    def read_from(self, identity, events=20):
+    def start_reading(self, identity, events=20):
         """A stream that is under way, and the engine that runs it."""
         reader = Reader(identity, events)
         platform.wait_for(lambda: self.engine_of(identity), "a run")
@@ -191,7 +191,7 @@
         time.sleep(3 * EVENT_GAP_S)
         gateway = self.gateways[0].process
         gateway.send_signal(signal.SIGSTOP)
-        time.sleep(STOOD_STILL_S)
+        time.sleep(GATEWAY_PAUSE_S)
         gateway.send_signal(signal.SIGCONT)
         for reader in readers:
             self.assert_whole(reader)
@@ -216,7 +216,7 @@
         all were of one kind, and the rate of a kind is bounded."""
         reader = Reader("too-long", 2 * DEADLINE_MS // int(1000 * EVENT_GAP_S))
         while reader.is_alive():
-            self.assertEqual(platform.ask("GET", "/get/1").status, 503)  # no such back end
+            self.assertEqual(platform.send_request("GET", "/get/1").status, 503)  # no such back end
         self.assertTrue(reader.cut)
         lines = [line for line in self.log_lines(self.gateways[0])
                  if "request=too-long" in line and "event=cut" in line]
@@ -227,9 +227,9 @@
         """158 times on one day a gateway asked engines of version 3 for exactly version 2, the least
         that was allowed: each answered that it had other weights, and the requests were refused."""
         begin = time.monotonic()
-        self.name_version(2)
+        self.publish_version(2)
         platform.wait_for(lambda: self.engines[0].version == 2, "version 2")
-        self.name_version(3)
+        self.publish_version(3)
         platform.wait_for(lambda: self.engines[0].version == 3, "version 3")
         time.sleep(max(0, begin + OLD_VERSIONS_END_S - time.monotonic()))
         self.assert_whole(Reader("ahead", 5))
@@ -241,7 +241,7 @@
     def test_a_refusal_does_not_end_a_stream(self):
         for engine in self.engines:
             engine.faults = ["torn"]
-        reader, first = self.read_from("refused")
+        reader, first = self.start_reading("refused")
         for engine in self.engines:
             engine.faults = [] if engine is first else ["shed"]
         self.assert_whole(reader)
@@ -249,7 +249,7 @@
     def test_a_stream_that_was_taken_up_bears_silence(self):
         for engine in self.engines:
             engine.faults = ["torn"]
-        reader, first = self.read_from("paused-later")
+        reader, first = self.start_reading("paused-later")
         for engine in self.engines:
             engine.faults = ["late"]
         self.assert_whole(reader)
@@ -261,7 +261,7 @@
     def test_a_silent_engine_is_not_left_for_one_that_is_as_silent(self):
         """Three streams were cut in a moment in which all engines were silent: each went to another engine,
         whose last report was 1.46 s old, and a reset there took the second and last attempt of its route."""
-        reader, first = self.read_from("all-silent", 30)
+        reader, first = self.start_reading("all-silent", 30)
         for engine in self.engines:
             engine.disturb_link(ALL_SILENT_S, silent=True)
         self.assert_whole(reader)
@@ -282,7 +282,7 @@
         stream had been at, the last four were remembered; refusals of others pushed out those that had
         ended, and their ends counted as attempts of its route again. The trails of the cut streams read
         `broken;...broken;...refused;...refused`, with `reason=refused` after two or three engines that ended."""
-        reader, first = self.read_from("pushed-out", 40)
+        reader, first = self.start_reading("pushed-out", 40)
         for engine in self.engines:
             engine.faults = ["shed"] * 2
         first.crash()
@@ -303,18 +303,18 @@
     VERSIONS = 3
     VERSION_GAP_S = 2.0
 
-    def read_stream(self, client, number, chance):
-        reader = Reader("v%03d-%04d" % (client, number), chance.randint(10, self.LONGEST_EVENTS),
-                        self.gateway(chance.randrange(self.GATEWAYS)))
+    def read_stream(self, client, number, rng):
+        reader = Reader("v%03d-%04d" % (client, number), rng.randint(10, self.LONGEST_EVENTS),
+                        self.gateway(rng.randrange(self.GATEWAYS)))
         reader.join()
         return reader
 
     def test_new_weights_cut_no_stream(self):
-        self.begin_clients(self.CLIENTS, self.read_stream)
+        self.start_clients(self.CLIENTS, self.read_stream)
         places = 0.6 * self.ENGINES * self.SLOTS
         platform.wait_for(lambda: sum(len(e.running) for e in self.engines) > places, "full engines")
         for version in range(2, 2 + self.VERSIONS):
-            self.name_version(version)
+            self.publish_version(version)
             time.sleep(self.VERSION_GAP_S)
         platform.wait_for(lambda: all(e.version == 1 + self.VERSIONS for e in self.engines),
                           "the last version at all engines")
--- a/tests/system/suspend_test.py
+++ b/tests/system/suspend_test.py
@@ -19,7 +19,7 @@
 
 DEADLINE_S = streams.DEADLINE_MS / 1000
 SUSPENDED_S = 4.5
-LATE_S = 1.2  # for a final answer, on a busy machine
+ANSWER_MARGIN_S = 1.2  # for a final answer, on a busy machine
 
 
 class SuspendedNode:
@@ -58,21 +58,21 @@
 class Suspended(streams.Fleet):
     ENGINES = 2
 
-    def begin_gateway(self, address):
+    def start_gateway(self, address):
         self.machine = SuspendedNode(address)
         return self.machine
 
     def setUp(self):
         super().setUp()
-        self.plain = standin.Backend((platform.PLAIN[0], platform.ENGINE), "plain-0", self.store,
+        self.plain = standin.Backend((platform.PLAIN_IPS[0], platform.ENGINE_PORT), "plain-0", self.store,
                                      "records")
         self.addCleanup(self.close, self.plain)
-        platform.wait_for(lambda: platform.ask("GET", "/get/first").status == 200, "the plain service")
+        platform.wait_for(lambda: platform.send_request("GET", "/get/first").status == 200, "the plain service")
 
     def put(self):
         self.begun = time.monotonic()
         try:
-            self.answer = platform.ask("POST", "/put/held", b"x", timeout=30,
+            self.answer = platform.send_request("POST", "/put/held", b"x", timeout=30,
                                        Shuntrun_Deadline_Ms=str(streams.DEADLINE_MS))
         finally:
             self.ended = time.monotonic()
@@ -86,7 +86,7 @@
         self.machine.suspend(SUSPENDED_S)
         caller.join()
         self.assertEqual(self.answer.status, 504)
-        self.assertLess(self.ended - self.begun, DEADLINE_S + LATE_S)
+        self.assertLess(self.ended - self.begun, DEADLINE_S + ANSWER_MARGIN_S)
 
     def test_waking_is_logged_with_its_length(self):
         self.machine.suspend(0.3)
@@ -94,7 +94,7 @@
                           "the log line")
 
     def test_streams_go_on_after_a_short_suspension(self):
-        reader, _ = self.read_from("short", 20)
+        reader, _ = self.start_reading("short", 20)
         self.machine.suspend(0.4)
         self.assert_whole(reader)
         self.assertEqual(self.runs("short"), 1)
@@ -103,8 +103,8 @@
         """Its machine's network stood still too: nothing has arrived when the process wakes."""
         for engine in self.engines:
             engine.faults = ["pause"]
-        reader, engine = self.read_from("silence", 10)
-        platform.wait_for(lambda: engine.pausing, "a pause")
+        reader, engine = self.start_reading("silence", 10)
+        platform.wait_for(lambda: engine.paused, "a pause")
         self.machine.suspend(standin.PAUSE_S - 0.4)
         self.assert_whole(reader)
         self.assertEqual(self.runs("silence"), 1)
--- a/tests/system/weights_test.py
+++ b/tests/system/weights_test.py
@@ -26,59 +26,59 @@
     def setUp(self):
         self.store = standin.Store(platform.STORE)
         self.origin = standin.Origin(platform.ORIGIN)
-        self.engine = standin.Backend((platform.SIDES[0], platform.ENGINE), "engine-0", self.store,
+        self.engine = standin.Backend((platform.ENGINE_IPS[0], platform.ENGINE_PORT), "engine-0", self.store,
                                       "llm", 1)
         self.store.put("op/config", platform.configuration(1))
-        self.edge = platform.edge(platform.EDGES[0])
-        self.loader = platform.loader(platform.SIDES[0])
+        self.edge = platform.edge(platform.EDGE_IPS[0])
+        self.loader = platform.loader(platform.ENGINE_IPS[0])
         for node in (self.edge, self.loader):
             self.addCleanup(node.stop)
         for owner in (self.store, self.origin, self.engine):
             self.addCleanup(self.close, owner)
-        platform.wait_for(lambda: platform.get(platform.EDGES[0], platform.READY,
+        platform.wait_for(lambda: platform.get(platform.EDGE_IPS[0], platform.READY_PORT,
                                                "/api/readiness")[0] == 200, "a ready edge")
 
     @staticmethod
     def close(owner):
         """An engine may have started again, with another server."""
-        owner.returns = False
+        owner.will_restart = False
         owner.server.shutdown()
         owner.server.server_close()
 
-    def name_version(self, version):
+    def publish_version(self, version):
         self.origin.newest = version
         self.store.put("op/version/" + standin.MODEL, {"model": standin.MODEL, "version": version})
 
     def await_version(self, version):
-        platform.wait_for(lambda: self.engine.version == version or self.engine.corrupt_starts,
+        platform.wait_for(lambda: self.engine.version == version or self.engine.corrupt_loads,
                           "version %d at the engine" % version)
-        self.assertEqual(self.engine.corrupt_starts, [])
+        self.assertEqual(self.engine.corrupt_loads, [])
 
     def test_a_newer_version_while_an_order_has_no_answer(self):
         self.engine.orders_to_hold = 1
-        self.name_version(2)
+        self.publish_version(2)
         platform.wait_for(lambda: self.engine.held_orders, "an order")
-        self.name_version(3)
+        self.publish_version(3)
         self.await_version(3)
 
     def test_a_loader_that_starts_while_an_order_of_its_predecessor_has_no_answer(self):
         self.engine.orders_to_hold = 1
-        self.name_version(2)
+        self.publish_version(2)
         platform.wait_for(lambda: self.engine.held_orders, "an order")
         self.loader.stop()
-        self.name_version(3)
+        self.publish_version(3)
         self.loader.start()
         self.await_version(3)
 
     def test_a_first_put_of_a_predecessor_that_comes_late_corrupts_nothing(self):
         """Into the empty stage of an engine that started again, while the next process of the loader
         fills it with a newer version: the put came between its last reading and its order."""
-        self.name_version(2)
+        self.publish_version(2)
         self.await_version(2)
         self.engine.puts_to_hold = 1
-        self.engine.crash_and_return()
+        self.engine.crash_and_restart()
         platform.wait_for(lambda: self.engine.held_puts, "the first put")
-        self.name_version(3)
+        self.publish_version(3)
         platform.wait_for(lambda: self.loader_lines("version-wanted model=%s version=3" %
                                                     standin.MODEL), "the newer version's name")
         self.loader.stop()
@@ -99,15 +99,15 @@
         """Its next start does, from the pieces that the loader took meanwhile."""
         wait = platform.wait_for
         self.await_reports(1)
-        self.engine.say_leaving()
+        self.engine.announce_leaving()
         wait(lambda: self.loader_lines("leaving "), "the engine's word at the loader")
-        self.name_version(2)
+        self.publish_version(2)
         wait(lambda: self.loader_lines("complete model=%s version=2" % standin.MODEL), "all pieces")
         self.await_reports(2)
         new = [n for n in range(standin.PIECES)
                if self.engine.staged.get(n) == standin.piece_bytes(2, n)]
         self.assertEqual((new, self.engine.orders), ([], 0))
-        self.engine.crash_and_return()
+        self.engine.crash_and_restart()
         self.await_version(2)
 
 
