--- a/tests/system/crash_test.py
+++ b/tests/system/crash_test.py
@@ -117,10 +117,10 @@
         self.assertEqual((status, retry_after), (503, None))
         self.assertIn(REASON, body)
 
-    def test_it_is_stopped_and_no_other_with_it(self):
+    def test_a_crashing_request_is_blocked_and_no_other(self):
         for caller in self.play(PLAY_S):
             ends = self.crash_times_of(caller.body)
-            self.assertGreaterEqual(len(ends), CRASHES_TO_BLOCK, "the request did its harm")
+            self.assertGreaterEqual(len(ends), CRASHES_TO_BLOCK, "engines crashed by the request")
             self.assertLessEqual(len(ends), MAX_CRASHES_PER_REQUEST, "engines ended under one request")
             self.assertEqual(self.sends_after(caller.body, ends[CRASHES_TO_BLOCK - 1] + BLOCK_SPREAD_S), [])
             self.assert_refused(caller.answers[-1])
@@ -181,11 +181,12 @@
     def end_a_leaving_engine(self, after_s):
         """Stops an engine `after_s` after the gateway learned that it leaves; this aborts its streams."""
         readers = [streams.Reader("planned-%d" % n, 100) for n in range(8)]
-        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams under way")
+        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams in progress")
         engine = self.engine_of(readers[0].identity)
         engine.announce_leaving()
         # The gateway learns it from an answer, or from the engine's report to its loader.
-        platform.wait_for(lambda: platform.metric("shuntrun_backends_leaving_total") == 1, "news")
+        platform.wait_for(lambda: platform.metric("shuntrun_backends_leaving_total") == 1,
+                          "the announcement at the gateway")
         time.sleep(after_s)
         engine.crash()
         for reader in readers:
--- a/tests/system/fleet_test.py
+++ b/tests/system/fleet_test.py
@@ -165,7 +165,7 @@
             self.assertIn(answer[1]["X-Outcome"], ("unknown", "not-run"), answer)
             fleet.kill("seats-0", signal.SIGCONT)
             wait_until("the agent answers again", lambda: fleet.status("seats-0"))
-            wait_until("its gateway hears it", lambda: post(
+            wait_until("its gateway knows of it again", lambda: post(
                 url + "/v1/services/seats", b'{"id": "later"}',
                 {"X-Tenant": "water", "Idempotency-Key": ticket + "~later"})[0] == 200)
             runs = call(fleet.service_urls["seats-0"] + "/admin/runs")["bodies"]
--- a/tests/system/leaving_test.py
+++ b/tests/system/leaving_test.py
@@ -61,7 +61,7 @@
     def reads_the_list(self, gateway):
         return any("subsystem=store" in line for line in self.log_lines(gateway))
 
-    def test_who_was_away_hears_of_removals_from_others_that_began_anew(self):
+    def test_removals_reach_a_suspended_gateway_from_restarted_peers(self):
         """The suspended gateway does not read the list itself. The others read the whole list after the removal,
         and passed on only later changes, which do not include removals from before their restart:
         11 and 18 of 40 streams reached the engine while it still served."""
--- a/tests/system/platform_test.py
+++ b/tests/system/platform_test.py
@@ -34,7 +34,7 @@
         if condition():
             return
         time.sleep(0.05)
-    raise AssertionError("not in time: " + what)
+    raise AssertionError("timeout waiting for: " + what)
 
 
 def configuration(version, **changes):
@@ -193,7 +193,7 @@
 
     def await_store_updates(self):
         """Waits until the first edge has received all updates of the store."""
-        wait_for(lambda: metric("shuntrun_state_revision") >= self.store.revision, "news of the store")
+        wait_for(lambda: metric("shuntrun_state_revision") >= self.store.revision, "updates from the store")
 
     def runs_of(self, identity):
         return [run for backend in self.engines + self.plain for run in backend.runs
@@ -337,7 +337,7 @@
         def is_met():
             answers.append(send_request("POST", "/put/1", b"x").status)
             return metric("shuntrun_ejections_total") > before
-        wait_for(is_met, "a request that meets it")
+        wait_for(is_met, "a request that chooses it")
         self.assertEqual(set(answers), {200})
 
     def runs_that_fail(self):
@@ -388,7 +388,7 @@
         connection.getresponse().read(10)
         connection.sock.close() if connection.sock else None
         connection.close()
-        wait_for(lambda: any("leaver" in e.abandoned for e in self.engines), "the engine hears of it")
+        wait_for(lambda: any("leaver" in e.abandoned for e in self.engines), "the closed connection at the engine")
 
     def test_requests_without_time_leave_connections_sound(self):
         for _ in range(20):
--- a/tests/system/statements_play.py
+++ b/tests/system/statements_play.py
@@ -31,7 +31,7 @@
     SLOTS = 64        # ample, as the stand-ins are slow and slots are not under test
 
     def runTest(self):
-        """Not used; main() runs play()."""
+        """Unused: main() calls play()."""
 
     def start_engine(self, index):
         engine = super().start_engine(index)
--- a/tests/system/statements_test.py
+++ b/tests/system/statements_test.py
@@ -122,7 +122,7 @@
         self.assertLess(took, 1.0, "it did not wait for the end of the backoff")
         time.sleep(until - time.monotonic() - 0.1)
         self.assertEqual(sum(len(engine.arrivals) for engine in self.engines), arrivals,
-                         "attempts in vain")
+                         "futile attempts")
         platform.wait_for(self.is_served, "a stream after the backoff")
         self.end_clients()
 
--- a/tests/system/streams_test.py
+++ b/tests/system/streams_test.py
@@ -186,7 +186,7 @@
 class OneEngine(Fleet):
     def test_a_gateway_that_stood_still_takes_no_engine_for_silent(self):
         readers = [Reader("still-%d" % n, 30) for n in range(8)]
-        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams under way")
+        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams in progress")
         time.sleep(3 * EVENT_GAP_S)
         gateway = self.gateways[0].process
         gateway.send_signal(signal.SIGSTOP)
@@ -202,7 +202,7 @@
 
     def test_a_configuration_takes_nothing_from_streams_under_way(self):
         readers = [Reader("configured-%d" % n, 25) for n in range(4)]
-        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams under way")
+        platform.wait_for(lambda: all(self.runs(r.identity) for r in readers), "streams in progress")
         others = configuration(2, self.SLOTS)["routes"][1:]
         self.store.put("op/config", configuration(2, self.SLOTS, routes=others, tenants=[]))
         platform.wait_for(lambda: platform.metric("shuntrun_config_revision") == 2, "configuration 2")
--- a/tests/system/weights_test.py
+++ b/tests/system/weights_test.py
@@ -80,7 +80,7 @@
         platform.wait_for(lambda: self.engine.held_puts, "the first put")
         self.publish_version(3)
         platform.wait_for(lambda: self.loader_lines("version-wanted model=%s version=3" %
-                                                    standin.MODEL), "the newer version's name")
+                                                    standin.MODEL), "the newer version at the loader")
         self.loader.stop()
         self.loader.start()
         self.await_version(3)
@@ -100,7 +100,7 @@
         wait = platform.wait_for
         self.await_reports(1)
         self.engine.announce_leaving()
-        wait(lambda: self.loader_lines("leaving "), "the engine's word at the loader")
+        wait(lambda: self.loader_lines("leaving "), "the announcement at the loader")
         self.publish_version(2)
         wait(lambda: self.loader_lines("complete model=%s version=2" % standin.MODEL), "all pieces")
         self.await_reports(2)
