--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -10,11 +10,9 @@
  *                     one line {"i", "t"} a token, then {"end": "done", "tokens"}
  * GET  /v1/load-report   queue and batch sizes, up to --report-lag-ms old
  * GET  /v1/events?after=N  cache events after number N, delayed and with gaps
- * GET  /admin/stats   {"generated", "cancelled", "streams"}: tokens and streams so far, open
- * streams
+ * GET  /admin/stats   {"generated", "cancelled", "streams"}: tokens, cancelled and open streams
  *
- * Token i of an answer is a function of (digest, prompt, i), so that a caller can verify all
- * tokens.
+ * Token i of an answer is a function of (digest, prompt, i), so that callers can verify it.
  */
 #include "standin/standin.h"
 
--- a/src/standin/origin.c
+++ b/src/standin/origin.c
@@ -1,11 +1,13 @@
 /**
  * Stand-in for the origin, the rate-limited weight store.
  *
- * GET  /v1/blobs/DIGEST    a manifest or chunk at the rate of the link; 429 with Retry-After when
- *                          --max-readers are being served
- * POST /admin/model        {"model", "version", "bytes", "chunk_bytes", "seed", "shared"}:
- * generates a model whose first `shared` chunks are those of seed 0 GET  /admin/stats        bytes
- * sent by kind and by reader, refused reads
+ * GET  /v1/blobs/DIGEST   a manifest or chunk at the rate of the link; 429 with Retry-After when
+ *                         --max-readers are being served
+ *
+ * POST /admin/model       {"model", "version", "bytes", "chunk_bytes", "seed", "shared"}
+ *                         generates a model whose first `shared` chunks are those of seed 0
+ *
+ * GET  /admin/stats       bytes sent by kind and by reader, refused reads
  */
 #include "standin/standin.h"
 
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 #include <sys/types.h>
 
-/** Injected fault; `mode` of POST /admin/fault is the name in lower case. */
+/** Injected fault; `mode` of POST /admin/fault is the name after FAULT_, in lower case. */
 enum standin_fault {
     FAULT_NONE,
     FAULT_REFUSE,  /**< answers 503 */
--- a/src/standin/values.c
+++ b/src/standin/values.c
@@ -43,8 +43,7 @@
     uint64_t refused;
     uint64_t waiting;
     uint64_t peak_calls_per_second;
-    uint32_t
-        frozen_revisions[MAX_KEYS]; /* by key: revision served with the fault `stale`; 0: none */
+    uint32_t frozen_revisions[MAX_KEYS]; /* by key: served with the fault `stale`; 0: none */
 };
 
 static int find_key(struct values *values, const char *key, bool create)
--- a/tests/system/crash_test.py
+++ b/tests/system/crash_test.py
@@ -25,8 +25,8 @@
 import streams_test as streams  # noqa: E402
 
 BLOCK_SPREAD_S = 3.0  # bound on the time until a block is known to all gateways
-CRASHES_TO_BLOCK = 3     # crashes after which a request is blocked
-MAX_CRASHES_PER_REQUEST = 6   # crashes to block, and those of requests in transit
+CRASHES_TO_BLOCK = 3  # crashes after which a request is blocked
+MAX_CRASHES_PER_REQUEST = 6  # crashes to block, and those of requests in transit
 REPEAT_S = 0.2
 SERVING_AFTER_LEAVE_S = 2.0  # platform's guarantee: an engine serves for this long after it announced that it leaves
 REASON = b"several back ends ended"  # in the refusal of a blocked request
--- a/tests/system/soak.py
+++ b/tests/system/soak.py
@@ -53,17 +53,17 @@
 import soak_clients as clients  # noqa: E402
 
 SERVING_AFTER_LEAVE_S = 3.0  # a back end that leaves serves for this long
-RECOVERY_S = 12.0    # bound required by the platform
+RECOVERY_S = 12.0  # bound required by the platform
 NEXT_WEIGHTS_S = 2.5  # between two versions; the first engine is ordered to load 2 s after publication
 CLIENTS = 8
 LONG_STREAM_CLIENTS = 4
-TRAP_PORT = 8106     # of the addresses in invalid entries; each entry has its own address
+TRAP_PORT = 8106  # of the addresses in invalid entries; each entry has its own address
 FAULT_GAP_S = (0.3, 1.2)
 CRASHING_GAP_S = (2.0, 5.0)  # between the first arrivals of two requests that crash engines
 STATEMENT_GAP_S = (0.4, 1.5)  # between two announcements (leaving, backoff) by back ends
 LINK_GAP_S = (0.8, 2.5)  # between two link faults
 LEAVING_GAP_S = (0.8, 2.0)  # between two late entries or kills of all gateways
-LATE_ENTRY_DELAY_S = 0.5     # from the entry that announces leaving to the write of the older one
+LATE_ENTRY_DELAY_S = 0.5  # from the entry that announces leaving to the write of the older one
 MAX_CRASH_TIME_S = 2.0  # upper bound of the drawn time from the start of a request to the crash of its engine
 BACKOFFS_S = (0.7, 1.5, 3.0, 6.0)
 
--- a/tests/system/soak_checks.py
+++ b/tests/system/soak_checks.py
@@ -1,12 +1,12 @@
 """Checks the soak test's invariants by what clients and back ends observed; soak.py lists them."""
 
-DRAIN_S = 2.0        # platform's bound on requests to a back end after it announced that it leaves
-STORE_SETTLE_S = 3.0         # after a fault of the store, its updates need not have been received for this long
-STOP_GRACE_S = 8          # from SIGTERM to the exit of an edge
+DRAIN_S = 2.0  # platform's bound on requests to a back end after it announced that it leaves
+STORE_SETTLE_S = 3.0  # from the end of a store fault until its updates bind edges
+STOP_GRACE_S = 8  # from SIGTERM to the exit of an edge
 CRASHES_TO_BLOCK = 3
 BACKOFF_SETTLE_S = 0.5  # platform's bound on the arrival of requests in transit
-MAX_BACKOFF_ARRIVALS = 2    # platform's bound on requests in the rest of the period
-TRANSIT_MARGIN_S = 0.3        # for a request in transit, in addition to the measured scheduling delay
+MAX_BACKOFF_ARRIVALS = 2  # platform's bound on requests in the rest of the period
+TRANSIT_MARGIN_S = 0.3  # for a request in transit, in addition to the measured scheduling delay
 
 
 class Checks:
--- a/tests/system/soak_clients.py
+++ b/tests/system/soak_clients.py
@@ -13,9 +13,9 @@
 DEADLINE_S = 2.0
 CLIENT_TIMEOUT_MARGIN_S = 2.0  # a client waits for this long after the deadline that it gave
 CRASHING_REPEAT_S = 0.2
-CRASHING_FOR_S = 9.0     # longer than the bound on arrivals at engines after the third crash
-COMMON_STREAMS = 4       # stream names that all clients share; each other name is sent once
-COMMON_SHARE = 0.3       # share of common names among the streams
+CRASHING_FOR_S = 9.0  # longer than the bound on arrivals at engines after the third crash
+COMMON_STREAMS = 4  # stream names that all clients share; each other name is sent once
+COMMON_SHARE = 0.3  # share of common names among the streams
 BLOCKED = b"several back ends ended"  # in the refusal of a request that crashes engines
 
 
--- a/tests/system/statements_play.py
+++ b/tests/system/statements_play.py
@@ -22,8 +22,8 @@
 BACKOFF_GAP_S = (0.5, 2.0)
 LEAVE_GAP_S = (1.0, 4.0)
 ALL_BACKOFF_S = 12.0
-ALL_REFUSED_AFTER_S = 1.5   # by then each gateway has had a refusal from each engine
-REFUSALS = 50         # measured refusals while all engines back off
+ALL_REFUSED_AFTER_S = 1.5  # by then each gateway has had a refusal from each engine
+REFUSALS = 50  # measured refusals while all engines back off
 
 
 class Play(statements.Statements):
--- a/tests/system/statements_test.py
+++ b/tests/system/statements_test.py
@@ -21,10 +21,10 @@
 import platform_test as platform  # noqa: E402
 import streams_test as streams  # noqa: E402
 
-DRAIN_S = 2.0        # requests that a gateway sends later than this after the announcement are late
+DRAIN_S = 2.0  # requests that a gateway sends later than this after the announcement are late
 BACKOFF_SETTLE_S = 0.5  # requests in transit at the start of a backoff have arrived by then
-MAX_BACKOFF_ARRIVALS = 2    # from one gateway in the rest of a backoff, at most
-WHOLE_SHARE = 0.99   # least share of complete streams, while other engines have free slots
+MAX_BACKOFF_ARRIVALS = 2  # from one gateway in the rest of a backoff, at most
+WHOLE_SHARE = 0.99  # least share of complete streams, while other engines have free slots
 
 
 def gateway_of(identity):
