--- a/src/standin/link.c
+++ b/src/standin/link.c
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a network link: a TCP relay that can be told to stall without closing (SIGUSR1 turns
- * that on and off) or to cut (SIGUSR2 closes all connections and turns refusal on and off).
+ * Stand-in for a network link: a TCP relay. SIGUSR1 toggles a stall, in which connections stay open
+ * and transfer nothing. SIGUSR2 toggles a cut, which closes all connections and each new one.
  */
 #include "standin/standin.h"
 
@@ -43,14 +43,14 @@
     return true;
 }
 
-/* \return false when the connection ended */
-static bool pass_on(int from, int to, char *buffer)
+/* \return false when either connection has ended */
+static bool forward_bytes(int from, int to, char *buffer)
 {
     ssize_t size = read(from, buffer, BUFFER_SIZE);
     return size > 0 && write_all(to, buffer, size);
 }
 
-static void relay_bytes(int client, int server)
+static void relay_connection(int client, int server)
 {
     char *buffer = memory_calloc(BUFFER_SIZE, 1);
     struct pollfd descriptors[2] = {{client, POLLIN, 0}, {server, POLLIN, 0}};
@@ -63,9 +63,9 @@
         if (poll(descriptors, 2, POLL_MS) <= 0)
             continue;
         if (descriptors[0].revents)
-            open = pass_on(client, server, buffer);
+            open = forward_bytes(client, server, buffer);
         if (open && descriptors[1].revents)
-            open = pass_on(server, client, buffer);
+            open = forward_bytes(server, client, buffer);
     }
     free(buffer);
 }
@@ -76,14 +76,14 @@
     int server = socket(AF_INET, SOCK_STREAM, 0);
     bool connected = connect(server, (struct sockaddr *)&relay->target, sizeof relay->target) == 0;
     if (connected)
-        relay_bytes(relay->client, server);
+        relay_connection(relay->client, server);
     close(server);
     close(relay->client);
     free(relay);
     return NULL;
 }
 
-static void accept_one(int listener, const struct sockaddr_in *target)
+static void accept_connection(int listener, const struct sockaddr_in *target)
 {
     pthread_t thread;
     struct relay *relay = memory_calloc(1, sizeof *relay);
@@ -103,10 +103,10 @@
 {
     struct standin_options options;
     uint64_t target_port = 0;
-    const struct standin_option own[] = {
-        {"target-port", &target_port, "port of the same address to which bytes go"},
+    const struct standin_option extra[] = {
+        {"target-port", &target_port, "port, at the same address, that connections are relayed to"},
         {NULL, NULL, NULL}};
-    standin_parse(argc, argv, "Stand-in of a network link.", &options, own);
+    standin_parse_options(argc, argv, "Stand-in for a network link.", &options, extra);
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)options.port)};
     inet_pton(AF_INET, options.address, &address.sin_addr);
     struct sockaddr_in target = address;
@@ -124,5 +124,5 @@
         return 1;
     }
     for (;;)
-        accept_one(listener, &target);
+        accept_connection(listener, &target);
 }
--- a/tests/fuzz/fuzz_message.c
+++ b/tests/fuzz/fuzz_message.c
@@ -1,4 +1,5 @@
-/* A control message from anybody, through the unpacker into a node, an executor and a router. */
+/* Control messages from untrusted senders: decoded, then handled by a node, an executor and a
+ * router. */
 #include "fuzz/fuzz.h"
 
 #include "core/executor.h"
@@ -71,7 +72,7 @@
 {
 }
 
-static void give(const Shuntrun__Envelope *message)
+static void deliver(const Shuntrun__Envelope *message)
 {
     static const char list[] = "{\"machines\":[{\"name\":\"a\",\"role\":\"agent\",\"zone\":\"z\","
                                "\"region\":\"r\",\"address\":\"10.0.0.1\"}]}";
@@ -105,7 +106,7 @@
     if (!message)
         return 0;
     message->from = hash_name("a");
-    give(message);
+    deliver(message);
     shuntrun__envelope__free_unpacked(message, NULL);
     return 0;
 }
--- a/tests/system/standin_test.py
+++ b/tests/system/standin_test.py
@@ -1,11 +1,10 @@
 #!/usr/bin/env python3
-"""The stand-in engine notes every stream that its own end cuts.
+"""The stand-in engine records every stream that its own crash cuts.
 
-The soak takes a cut stream for a gateway's fault unless the engine says that it broke the stream off.
-An engine that ended noted the streams on its connections first and reset the connections after that.
-A stream that came on a kept connection in between was cut without a note. What settled it: two
-streams lost in the same millisecond, sent 2 ms and 1 ms before the engine's end, of which only the
-first stood among those that it had broken off.
+The soak attributes a cut stream to a gateway unless the engine recorded it as aborted. A crashing engine
+first recorded the streams on its connections and then reset the connections, so a stream that started on
+a persistent connection in between was cut without a record. Seen as two streams lost in the same
+millisecond, sent 2 ms and 1 ms before the crash, of which only the first was recorded.
 """
 import argparse
 import http.client
@@ -16,8 +15,8 @@
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import platform_standin as standin  # noqa: E402
 
-STORE = ("127.9.7.1", 8100)
-ENGINE = ("127.9.7.2", 8105)
+STORE_ADDRESS = ("127.9.7.1", 8100)
+ENGINE_ADDRESS = ("127.9.7.2", 8105)
 
 
 def send_stream(connection, identity):
@@ -26,9 +25,9 @@
 
 class Ends(unittest.TestCase):
     def setUp(self):
-        self.store = standin.Store(STORE)
-        self.engine = standin.Backend(ENGINE, "engine", self.store, "llm", 1)
-        self.connection = http.client.HTTPConnection(*ENGINE, timeout=5)
+        self.store = standin.Store(STORE_ADDRESS)
+        self.engine = standin.Backend(ENGINE_ADDRESS, "engine", self.store, "llm", 1)
+        self.connection = http.client.HTTPConnection(*ENGINE_ADDRESS, timeout=5)
 
     def tearDown(self):
         self.connection.close()
@@ -51,7 +50,7 @@
         finally:
             standin.reset_connection = reset
         self.assertEqual(kept, [standin.whole_stream()])
-        self.assertIn("between", self.engine.broken_off)
+        self.assertIn("between", self.engine.aborted_streams)
 
 
 if __name__ == "__main__":
