--- a/schema/generate_settings.py
+++ b/schema/generate_settings.py
@@ -4,12 +4,12 @@
 import pathlib
 import sys
 
-ROLE_BITS = {"gateway": "SETTING_ROLE_GATEWAY", "agent": "SETTING_ROLE_AGENT",
+ROLE_FLAGS = {"gateway": "SETTING_ROLE_GATEWAY", "agent": "SETTING_ROLE_AGENT",
              "edge": "SETTING_ROLE_EDGE", "loader": "SETTING_ROLE_LOADER"}
 C_TYPES = {"string": "const char *", "url": "const char *", "choice": "const char *",
            "endpoint": "const char *", "number": "const char *",
            "uint": "uint64_t ", "most": "uint64_t ", "least": "uint64_t ", "bool": "bool "}
-BANNER = "/* Generated from schema/settings.json by schema/generate_settings.py; do not edit. */\n"
+GENERATED_NOTICE = "/* Generated from schema/settings.json by schema/generate_settings.py; do not edit. */\n"
 
 
 def field_name(setting):
@@ -25,12 +25,12 @@
     return str(value)
 
 
-def quoted(text):
+def c_string(text):
     return "NULL" if text is None else json.dumps(text)
 
 
-def header(settings):
-    lines = [BANNER, "#ifndef SHUNTRUN_SETTINGS_SCHEMA_H\n#define SHUNTRUN_SETTINGS_SCHEMA_H\n",
+def schema_header(settings):
+    lines = [GENERATED_NOTICE, "#ifndef SHUNTRUN_SETTINGS_SCHEMA_H\n#define SHUNTRUN_SETTINGS_SCHEMA_H\n",
              "#include <stdbool.h>\n#include <stdint.h>\n",
              "/** Every setting of the daemons, typed; see docs/CONFIGURATION.md. */",
              "struct settings {"]
@@ -40,23 +40,23 @@
     return "\n".join(lines) + "\n"
 
 
-def table(settings):
-    lines = [BANNER, '#include "base/settings.h"\n#include <stddef.h>\n',
+def schema_source(settings):
+    lines = [GENERATED_NOTICE, '#include "base/settings.h"\n#include <stddef.h>\n',
              "const struct setting_descriptor setting_descriptors[SETTING_COUNT] = {"]
     for setting in settings:
-        roles = " | ".join(ROLE_BITS[role] for role in setting["roles"])
+        roles = " | ".join(ROLE_FLAGS[role] for role in setting["roles"])
         choices = "|".join(setting.get("choices", [])) or None
         lines.append("    {" + ", ".join([
-            quoted(setting["name"]), f"SETTING_{setting['type'].upper()}",
-            f"offsetof(struct settings, {field_name(setting)})", quoted(default_text(setting)),
-            str(setting.get("min", 0)), str(setting.get("max", 0)), quoted(setting.get("unit")),
-            quoted(choices), roles, "true" if setting.get("required") else "false",
-            quoted(setting["help"])]) + "},")
+            c_string(setting["name"]), f"SETTING_{setting['type'].upper()}",
+            f"offsetof(struct settings, {field_name(setting)})", c_string(default_text(setting)),
+            str(setting.get("min", 0)), str(setting.get("max", 0)), c_string(setting.get("unit")),
+            c_string(choices), roles, "true" if setting.get("required") else "false",
+            c_string(setting["help"])]) + "},")
     lines.append("};")
     return "\n".join(lines) + "\n"
 
 
-def reference(settings):
+def settings_reference(settings):
     lines = ["# Settings", "",
              "Generated from `schema/settings.json`. Each setting is a flag (`--name VALUE`), a variable",
              "(`SHUNTRUN_NAME`) or a line `name = value` of the file given by `--settings FILE`. A flag goes",
@@ -79,9 +79,9 @@
 def main():
     root = pathlib.Path(sys.argv[1])
     settings = json.loads((root / "schema/settings.json").read_text())["settings"]
-    (root / "src/generated/settings_schema.h").write_text(header(settings))
-    (root / "src/generated/settings_schema.c").write_text(table(settings))
-    (root / "docs/CONFIGURATION.md").write_text(reference(settings))
+    (root / "src/generated/settings_schema.h").write_text(schema_header(settings))
+    (root / "src/generated/settings_schema.c").write_text(schema_source(settings))
+    (root / "docs/CONFIGURATION.md").write_text(settings_reference(settings))
 
 
 if __name__ == "__main__":
--- a/scripts/bench_rollout.py
+++ b/scripts/bench_rollout.py
@@ -25,18 +25,18 @@
     for agent in fleet.agents():
         wait_until(f"{agent} knows the machines", lambda a=agent: fleet.status(a)["machines"] > 0)
     time.sleep(1)  # links between agents come up; the clock starts after
-    begun = time.monotonic()
+    started_at = time.monotonic()
     fleet.publish_config(demo.make_config("v1", model, ["seats-0"]))
-    whole, serving = {}, {}
-    while len(serving) < options.agents and time.monotonic() - begun < 120:
+    loaded, serving = {}, {}
+    while len(serving) < options.agents and time.monotonic() - started_at < 120:
         for agent in fleet.agents():
             if agent in serving:
                 continue
             status = fleet.status(agent)
-            now = time.monotonic() - begun
+            now = time.monotonic() - started_at
             rollout = status["rollouts"][0] if status["rollouts"] else None
             if rollout and rollout["chunks"] and rollout["held"] == rollout["chunks"]:
-                whole.setdefault(agent, now)
+                loaded.setdefault(agent, now)
             if status["ready"]:
                 serving[agent] = now
         time.sleep(0.05)
@@ -44,7 +44,7 @@
     fleet.stop()
     if len(serving) < options.agents:
         raise SystemExit(f"only {len(serving)} of {options.agents} agents serve")
-    return {"whole_seconds": max(whole.values()), "serving_seconds": max(serving.values()),
+    return {"whole_seconds": max(loaded.values()), "serving_seconds": max(serving.values()),
             "origin_copies": copies}
 
 
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -19,15 +19,15 @@
 import demo  # noqa: E402
 from fleet import Fleet, call, wait_until  # noqa: E402
 
-TICKS = os.sysconf("SC_CLK_TCK")
-NODE_SIZES = (50, 100, 200, 400, 800)
-RATES = (20, 50, 100, 200)
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+ENGINE_COUNTS = (50, 100, 200, 400, 800)
+REQUEST_RATES = (20, 50, 100, 200)
 CHUNK_COUNTS = (50, 200, 500, 1000, 2200)
-TOKENS = 40
+TOKENS_PER_REQUEST = 40
 LOAD_SECONDS = 6
 
 
-def fit(points):
+def fit_linear(points):
     """Least squares: value = base + slope * size; residuals as shares of the value."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
@@ -43,7 +43,7 @@
 def measure_nodes(options):
     """Fleets on the virtual clock; the simulation's own work counts too, so this is an upper bound."""
     rows = []
-    for engines in NODE_SIZES:
+    for engines in ENGINE_COUNTS:
         gateways = max(2, engines // 8)
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         result = subprocess.run(
@@ -70,10 +70,10 @@
         fields = stat.read().rsplit(")", 1)[1].split()
     with open(f"/proc/{process.pid}/status", encoding="ascii") as status:
         rss = next(int(line.split()[1]) for line in status if line.startswith("VmRSS"))
-    return (int(fields[11]) + int(fields[12])) / TICKS, rss / 1024
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND, rss / 1024
 
 
-def small_fleet(options, name, chunk_count, engines=4):
+def start_small_fleet(options, name, chunk_count, engines=4):
     fleet = Fleet(options.build, pathlib.Path(options.work) / name)
     fleet.start_platform(1 << 30, lag_ms=0)
     fleet.add_gateway("gateway-1", 1)
@@ -89,27 +89,27 @@
 
 
 def measure_requests(options):
-    fleet = small_fleet(options, "requests", 16)
+    fleet = start_small_fleet(options, "requests", 16)
     rows = []
     try:
-        for rate in (0,) + RATES:
+        for rate in (0,) + REQUEST_RATES:
             names = ["gateway-1"] + fleet.agents()
             before = {name: process_usage(fleet.processes[name]) for name in names}
-            begun = time.monotonic()
+            started_at = time.monotonic()
             done = 0
             if rate:
                 fleet.start_load("load", "script", "--tenants", "water", "--rate", str(rate),
-                                 "--seconds", str(LOAD_SECONDS), "--tokens", str(TOKENS))
+                                 "--seconds", str(LOAD_SECONDS), "--tokens", str(TOKENS_PER_REQUEST))
                 done = fleet.load_report("load")["outcomes"]["done"]
             else:
                 time.sleep(LOAD_SECONDS)
-            elapsed = time.monotonic() - begun
+            elapsed = time.monotonic() - started_at
             after = {name: process_usage(fleet.processes[name]) for name in names}
             cpu = {name: (after[name][0] - before[name][0]) / elapsed for name in names}
             agents = fleet.agents()
             rows.append({
                 "requests_per_second": done / elapsed,
-                "tokens_per_second": done * TOKENS / elapsed,
+                "tokens_per_second": done * TOKENS_PER_REQUEST / elapsed,
                 "gateway_core_share": cpu["gateway-1"],
                 "gateway_rss_mb": after["gateway-1"][1],
                 "agent_core_share": sum(cpu[a] for a in agents) / len(agents),
@@ -125,20 +125,20 @@
 def measure_chunks(options):
     rows = []
     for count in CHUNK_COUNTS:
-        fleet = small_fleet(options, f"chunks-{count}", count, engines=2)
+        fleet = start_small_fleet(options, f"chunks-{count}", count, engines=2)
         try:
             agent = fleet.agents()[0]
-            held = fleet.counters(agent)["shuntrun_chunk_memory_bytes"] / (1 << 20)
+            chunk_memory_mb = fleet.counters(agent)["shuntrun_chunk_memory_bytes"] / (1 << 20)
             rss = process_usage(fleet.processes[agent])[1]
-            rows.append({"chunks": count, "agent_rss_mb": rss, "chunk_memory_mb": held,
-                         "control_mb": rss - held})
+            rows.append({"chunks": count, "agent_rss_mb": rss, "chunk_memory_mb": chunk_memory_mb,
+                         "control_mb": rss - chunk_memory_mb})
             print(rows[-1], flush=True)
         finally:
             fleet.stop()
     return rows
 
 
-def table(rows):
+def markdown_table(rows):
     keys = list(rows[0])
     lines = ["| " + " | ".join(key.replace("_", " ") for key in keys) + " |",
              "|" + " --- |" * len(keys)]
@@ -147,7 +147,7 @@
     return lines
 
 
-def fit_line(name, unit, fitted):
+def format_fit(name, unit, fitted):
     residuals = ", ".join(f"{100 * r:+.0f} %" for r in fitted["residuals"])
     return f"| {name} | {fitted['base']:.4g} | {fitted['slope']:.4g} | {unit} | {residuals} |"
 
@@ -165,30 +165,30 @@
     loaded = [row for row in requests if row["requests_per_second"] > 0]
     fits = {
         "control cpu, ms per node and second, over nodes":
-            ("ms per node", fit([(r["nodes"], r["cpu_ms_per_node_second"]) for r in nodes])),
+            ("ms per node", fit_linear([(r["nodes"], r["cpu_ms_per_node_second"]) for r in nodes])),
         "control bytes per node and second, over nodes":
-            ("B/s per node", fit([(r["nodes"], r["bytes_per_node_second"]) for r in nodes])),
+            ("B/s per node", fit_linear([(r["nodes"], r["bytes_per_node_second"]) for r in nodes])),
         "platform calls in the busiest second, over nodes":
-            ("calls per node", fit([(r["nodes"], r["platform_calls_per_second"]) for r in nodes])),
+            ("calls per node", fit_linear([(r["nodes"], r["platform_calls_per_second"]) for r in nodes])),
         "gateway core share, over tokens a second":
-            ("cores per token/s", fit([(r["tokens_per_second"], r["gateway_core_share"])
+            ("cores per token/s", fit_linear([(r["tokens_per_second"], r["gateway_core_share"])
                                        for r in loaded])),
         "agent core share, over its own requests a second":
-            ("cores per request/s", fit([(r["agent_requests_per_second"], r["agent_core_share"])
+            ("cores per request/s", fit_linear([(r["agent_requests_per_second"], r["agent_core_share"])
                                          for r in loaded])),
         "gateway memory, MB, over requests a second":
-            ("MB per request/s", fit([(r["requests_per_second"], r["gateway_rss_mb"])
+            ("MB per request/s", fit_linear([(r["requests_per_second"], r["gateway_rss_mb"])
                                       for r in requests])),
         "agent memory without chunk data, MB, over chunks":
-            ("MB per chunk", fit([(r["chunks"], r["control_mb"]) for r in chunks])),
+            ("MB per chunk", fit_linear([(r["chunks"], r["control_mb"]) for r in chunks])),
     }
     lines = ["Measured by `scripts/capacity.py`.", "", "## Hollow nodes in one process", ""]
-    lines += table(nodes) + ["", "## A real gateway and four real agents", ""] + table(requests)
-    lines += ["", "## A real agent over the size of a manifest", ""] + table(chunks)
+    lines += markdown_table(nodes) + ["", "## A real gateway and four real agents", ""] + markdown_table(requests)
+    lines += ["", "## A real agent over the size of a manifest", ""] + markdown_table(chunks)
     lines += ["", "## Fits: value = base + slope x size", "",
               "| quantity | base | slope | unit of slope | residuals |",
               "| --- | --- | --- | --- | --- |"]
-    lines += [fit_line(name, unit, fitted) for name, (unit, fitted) in fits.items()]
+    lines += [format_fit(name, unit, fitted) for name, (unit, fitted) in fits.items()]
     directory = pathlib.Path(options.output)
     directory.mkdir(parents=True, exist_ok=True)
     (directory / "capacity.md").write_text("\n".join(lines) + "\n")
--- a/scripts/cut_streams.py
+++ b/scripts/cut_streams.py
@@ -10,34 +10,34 @@
 import sys
 
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
-ATTEMPT_END = re.compile(r",([a-z]+);")
+ATTEMPT_OUTCOME = re.compile(r",([a-z]+);")
 
 
-def fields_of(line):
+def parse_fields(line):
     return {name: value.strip('"') for name, value in FIELD.findall(line)}
 
 
-def count(stream):
+def count_events(log):
     """Cut streams by (reason, how each attempt ended), and attempts that were followed by another."""
-    cut, retried = collections.Counter(), collections.Counter()
-    for line in stream:
+    cut_streams, retries = collections.Counter(), collections.Counter()
+    for line in log:
         if "subsystem=request" not in line:
             continue
-        fields = fields_of(line)
+        fields = parse_fields(line)
         if fields.get("event") == "cut":
-            attempts = ",".join(ATTEMPT_END.findall(fields.get("trail", "")))
-            cut[(fields["reason"], attempts or "-")] += 1
+            attempts = ",".join(ATTEMPT_OUTCOME.findall(fields.get("trail", "")))
+            cut_streams[(fields["reason"], attempts or "-")] += 1
         elif fields.get("event") == "retry":
-            retried[fields["reason"]] += 1
-    return cut, retried
+            retries[fields["reason"]] += 1
+    return cut_streams, retries
 
 
-def report(name, stream):
-    cut, retried = count(stream)
-    print("%s: %d streams cut" % (name, sum(cut.values())))
-    for (reason, attempts), number in cut.most_common():
+def report(name, log):
+    cut_streams, retries = count_events(log)
+    print("%s: %d streams cut" % (name, sum(cut_streams.values())))
+    for (reason, attempts), number in cut_streams.most_common():
         print("  %5d  %s, attempts: %s" % (number, reason, attempts))
-    for reason, number in retried.most_common():
+    for reason, number in retries.most_common():
         print("  %5d  attempts went on elsewhere: %s" % (number, reason))
 
 
@@ -45,8 +45,8 @@
     if len(sys.argv) < 2:
         report("standard input", sys.stdin)
     for name in sys.argv[1:]:
-        with open(name, errors="replace") as stream:
-            report(name, stream)
+        with open(name, errors="replace") as log:
+            report(name, log)
 
 
 if __name__ == "__main__":
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -42,7 +42,7 @@
     }
 
 
-class ReadyClock(threading.Thread):
+class RolloutTimer(threading.Thread):
     """Notes when each agent first serves a version."""
 
     def __init__(self, fleet, names, version):
@@ -81,31 +81,31 @@
     return fleet
 
 
-def check_seats(fleet, record):
+def reconcile_seats(fleet, record):
     """Reconcile what callers were told with what the services ran."""
     runs = {}
     for name in fleet.agents(engines=False):
         url = fleet.service_urls[name]
         for body, count in call(url + "/admin/runs")["bodies"].items():
             runs[body] = runs.get(body, 0) + count
-    problems = {"run_twice": 0, "done_but_not_run": 0, "not_run_but_run": 0}
+    violations = {"run_twice": 0, "done_but_not_run": 0, "not_run_but_run": 0}
     for line in record.read_text().splitlines():
         request, outcome, _ = line.split()
         count = runs.get(request, 0)
-        problems["run_twice"] += count > 1
-        problems["done_but_not_run"] += outcome == "done" and count == 0
-        problems["not_run_but_run"] += outcome == "not_run" and count > 0
-    return problems
+        violations["run_twice"] += count > 1
+        violations["done_but_not_run"] += outcome == "done" and count == 0
+        violations["not_run_but_run"] += outcome == "not_run" and count > 0
+    return violations
 
 
 def chunk_sources(fleet, names):
-    sums = {"peer": 0, "origin": 0, "rejected": 0}
+    totals = {"peer": 0, "origin": 0, "rejected": 0}
     for name in names:
         counters = fleet.counters(name)
         for source in ("peer", "origin"):
-            sums[source] += counters[f'shuntrun_chunks_received_total{{source="{source}"}}']
-        sums["rejected"] += counters["shuntrun_chunks_rejected_total"]
-    return sums
+            totals[source] += counters[f'shuntrun_chunks_received_total{{source="{source}"}}']
+        totals["rejected"] += counters["shuntrun_chunks_rejected_total"]
+    return totals
 
 
 def run(options):
@@ -116,9 +116,9 @@
     second = fleet.make_model("script", "v2", MODEL_BYTES, CHUNK_BYTES, seed=2)
 
     print(f"publishing v1 to {len(engines)} engines", flush=True)
-    clock = ReadyClock(fleet, engines, "v1")
+    timer = RolloutTimer(fleet, engines, "v1")
     fleet.publish_config(make_config("v1", first, seats))
-    burst_v1 = clock.wait("v1 on every engine")
+    rollout_v1 = timer.wait("v1 on every engine")
     origin_v1 = call(fleet.origin_url + "/admin/stats")["chunk_bytes"]
     for name in fleet.gateways():
         wait_until(f"{name} is ready", lambda n=name: fleet.status(n)["config_revision"])
@@ -132,38 +132,38 @@
     time.sleep(options.seconds / 5)
 
     print("publishing v2 under traffic", flush=True)
-    clock = ReadyClock(fleet, engines, "v2")
+    timer = RolloutTimer(fleet, engines, "v2")
     fleet.publish_config(make_config("v2", second, seats))
-    burst_v2 = clock.wait("v2 on every engine")
+    rollout_v2 = timer.wait("v2 on every engine")
     origin_v2 = call(fleet.origin_url + "/admin/stats")["chunk_bytes"] - origin_v1
     sources = chunk_sources(fleet, engines)
 
     print("draining engine-10 and gateway-3 under traffic", flush=True)
     stopped = {}
     for name in ("engine-10", "gateway-3"):
-        begun = time.monotonic()
+        started_at = time.monotonic()
         fleet.kill(name, signal.SIGTERM)
         status = fleet.processes[name].wait(timeout=45)
-        stopped[name] = {"exit_status": status, "seconds": round(time.monotonic() - begun, 3)}
+        stopped[name] = {"exit_status": status, "seconds": round(time.monotonic() - started_at, 3)}
 
     script = fleet.load_report("load-script")
     seat_calls = fleet.load_report("load-seats")
-    seat_problems = check_seats(fleet, fleet.work / "load-seats.record")
+    seat_violations = reconcile_seats(fleet, fleet.work / "load-seats.record")
     fleet.stop()
 
     answers = {name: script["outcomes"][name] + seat_calls["outcomes"][name]
                for name in script["outcomes"]}
-    bad = sum(answers[name] for name in ("lost", "cut", "doubled", "mixed"))
-    bad += sum(seat_problems.values()) + sum(s["exit_status"] != 0 for s in stopped.values())
+    violations = sum(answers[name] for name in ("lost", "cut", "doubled", "mixed"))
+    violations += sum(seat_violations.values()) + sum(s["exit_status"] != 0 for s in stopped.values())
     summary = {
         "engines": len(engines), "gateways": 3, "service_agents": len(seats), "zones": 3,
         "model_bytes": MODEL_BYTES, "chunk_bytes": CHUNK_BYTES,
-        "v1": {**burst_v1, "origin_bytes": origin_v1, "origin_copies": origin_v1 / MODEL_BYTES},
-        "v2": {**burst_v2, "origin_bytes": origin_v2, "origin_copies": origin_v2 / MODEL_BYTES},
-        "chunk_sources": sources, "requests": answers, "seat_checks": seat_problems,
+        "v1": {**rollout_v1, "origin_bytes": origin_v1, "origin_copies": origin_v1 / MODEL_BYTES},
+        "v2": {**rollout_v2, "origin_bytes": origin_v2, "origin_copies": origin_v2 / MODEL_BYTES},
+        "chunk_sources": sources, "requests": answers, "seat_checks": seat_violations,
         "answers_by_version": script["versions"], "first_token_ms": script["first_token_ms"],
         "between_tokens_ms": script["between_tokens_ms"], "drained": stopped,
-        "violations": bad, "result": "passed" if bad == 0 else "FAILED",
+        "violations": violations, "result": "passed" if violations == 0 else "FAILED",
     }
     return summary
 
@@ -171,10 +171,10 @@
 def print_summary(summary):
     print()
     for version in ("v1", "v2"):
-        burst = summary[version]
-        print(f"{version}: {burst['replicas']} replicas serve after {burst['all_seconds']:.2f} s "
-              f"(half after {burst['half_seconds']:.2f} s); the origin gave "
-              f"{burst['origin_copies']:.2f} copies of {summary['model_bytes'] >> 20} MB")
+        rollout = summary[version]
+        print(f"{version}: {rollout['replicas']} replicas serve after {rollout['all_seconds']:.2f} s "
+              f"(half after {rollout['half_seconds']:.2f} s); the origin gave "
+              f"{rollout['origin_copies']:.2f} copies of {summary['model_bytes'] >> 20} MB")
     sources = summary["chunk_sources"]
     print(f"chunks: {sources['peer']} from peers, {sources['origin']} from the origin, "
           f"{sources['rejected']} rejected")
--- a/scripts/experiments.py
+++ b/scripts/experiments.py
@@ -59,7 +59,7 @@
         return list(pool.map(lambda job: simulate(options.binary, job), jobs))
 
 
-def write(options, name, reports, lines):
+def write_results(options, name, reports, lines):
     directory = pathlib.Path(options.output)
     directory.mkdir(parents=True, exist_ok=True)
     (directory / f"{name}.json").write_text(json.dumps(reports, indent=1) + "\n")
@@ -67,11 +67,11 @@
     print("\n".join(lines))
 
 
-def seconds(value):
+def format_seconds(value):
     return "not finished" if value is None else f"{value:.1f}"
 
 
-def copies(report):
+def origin_copies(report):
     return report["origin_bytes"] / report["model_bytes"]
 
 
@@ -88,10 +88,10 @@
         time = report["time_to_n_seconds"]
         bound = report["lower_bound_seconds"]
         ratio = "" if time is None else f"{time / bound:.3f}"
-        lines.append(f"| {strategy} | {size} | {seconds(time)} | "
-                     f"{seconds(report['time_to_half_seconds'])} | {bound:.1f} | {ratio} | "
-                     f"{copies(report):.3f} | {report['control_bytes_per_machine_per_second']:.0f} |")
-    write(options, "strategies", reports, lines)
+        lines.append(f"| {strategy} | {size} | {format_seconds(time)} | "
+                     f"{format_seconds(report['time_to_half_seconds'])} | {bound:.1f} | {ratio} | "
+                     f"{origin_copies(report):.3f} | {report['control_bytes_per_machine_per_second']:.0f} |")
+    write_results(options, "strategies", reports, lines)
     plot(options, cases, reports)
 
 
@@ -127,7 +127,7 @@
              "need.", "",
              "| fault | finished | violations | time to N, s: median | worst | origin copies: median | "
              "worst | rejected chunks |", "| --- | --- | --- | --- | --- | --- | --- | --- |"]
-    everything = {}
+    reports_by_fault = {}
     for name, spec in FAULTS.items():
         jobs = [["--machines", str(options.machines), "--chunk-bytes", str(options.chunk_bytes),
                  "--seed", str(seed)] + (["--faults", spec] if spec else [])
@@ -135,8 +135,8 @@
         reports = run_all(options, jobs)
         distinct = 1.0 + ("change" in spec) * (0.5 if "shared=0.5" in spec else 1.0)
         times = [r["time_to_n_seconds"] for r in reports if r["finished"]]
-        origin = [copies(r) / distinct for r in reports]
-        everything[name] = reports
+        origin = [origin_copies(r) / distinct for r in reports]
+        reports_by_fault[name] = reports
         lines.append(f"| {name} | {len(times)} of {len(reports)} | "
                      f"{sum(r['violations'] for r in reports)} | {statistics.median(times):.1f} | "
                      f"{max(times):.1f} | {statistics.median(origin):.3f} | {max(origin):.3f} | "
@@ -144,8 +144,8 @@
         print(lines[-1], flush=True)
     summary = {name: [{k: r[k] for k in ("seed", "finished", "violations", "time_to_n_seconds",
                                          "origin_bytes")} for r in reports]
-               for name, reports in everything.items()}
-    write(options, "faults", summary, lines)
+               for name, reports in reports_by_fault.items()}
+    write_results(options, "faults", summary, lines)
 
 
 def sweep(options):
@@ -156,27 +156,27 @@
     for (name, _), report in zip(SWEEP, reports):
         time = report["time_to_n_seconds"]
         ratio = "" if time is None else f"{time / report['lower_bound_seconds']:.3f}"
-        lines.append(f"| {name} | {seconds(time)} | {ratio} | {copies(report):.3f} | "
+        lines.append(f"| {name} | {format_seconds(time)} | {ratio} | {origin_copies(report):.3f} | "
                      f"{report['control_bytes_per_machine_per_second']:.0f} | "
                      f"{report['refusals']} | {report['wall_seconds']:.1f} |")
-    write(options, "sweep", reports, lines)
+    write_results(options, "sweep", reports, lines)
 
 
 def spread_machines(machines):
     """Six zones of unlike size, a third of the machines preemptible, most of them in two zones."""
-    listed = []
+    result = []
     for number in range(machines):
         zone = (0, 0, 0, 1, 1, 2, 3, 4, 5, 5)[number % 10]
-        listed.append({"name": f"machine-{number}", "role": "agent", "zone": f"zone-{zone}",
+        result.append({"name": f"machine-{number}", "role": "agent", "zone": f"zone-{zone}",
                        "region": f"region-{zone % 3}", "rack": f"rack-{number % 30}",
                        "address": f"10.0.{number // 250}.{number % 250 + 1}", "accelerators": 8,
                        "pool": "preemptible" if zone < 2 and number % 2 else "reserved"})
-    return listed
+    return result
 
 
-def plan_targets(options, work, machines, program, replicas):
+def plan_targets(options, work, machines, policy, replicas):
     config = {"models": [{"name": "m", "version": "v1", "manifest": "0" * 64, "bytes": 1,
-                          "replicas": replicas, "accelerators": 8}], "policy": program}
+                          "replicas": replicas, "accelerators": 8}], "policy": policy}
     old = {**config, "models": [{**config["models"][0], "manifest": "1" * 64}]}
     for name, value in (("new.json", config), ("old.json", old),
                         ("machines.json", {"machines": machines})):
@@ -189,7 +189,7 @@
 
 
 def spread(options):
-    programs = {
+    policies = {
         "no bound": "",
         "spread 0.3": "function spread() return 0.3 end",
         "spread 0.2": "function spread() return 0.2 end",
@@ -204,25 +204,25 @@
         work = pathlib.Path(directory)
         machines = spread_machines(300)
         by_name = {machine["name"]: machine for machine in machines}
-        for name, program in programs.items():
-            targets = plan_targets(options, work, machines, program, 100)
+        for name, policy in policies.items():
+            targets = plan_targets(options, work, machines, policy, 100)
             zones = collections.Counter(by_name[t]["zone"] for t in targets)
             pool = sum(by_name[t]["pool"] == "preemptible" for t in targets)
-            fewer = [machine for number, machine in enumerate(machines) if number % 20]
-            after = plan_targets(options, work, fewer, program, 100)
-            left = {machine["name"] for machine in fewer}
+            remaining = [machine for number, machine in enumerate(machines) if number % 20]
+            after = plan_targets(options, work, remaining, policy, 100)
+            remaining_names = {machine["name"] for machine in remaining}
             moved = len(set(after) - set(targets)) / len(targets)
-            forced = sum(t not in left for t in targets) / len(targets)
+            forced = sum(t not in remaining_names for t in targets) / len(targets)
             worst = max(zones.values()) / len(targets)
             reports.append({"policy": name, "replicas": len(targets), "worst_zone": worst,
                             "pool": pool / len(targets), "moved": moved, "forced": forced})
             lines.append(f"| {name} | {len(targets)} | {100 * worst:.0f} % | "
                          f"{100 * pool / len(targets):.0f} % | {100 * moved:.0f} % "
                          f"({100 * forced:.0f} % had to) |")
-    write(options, "spread", reports, lines)
+    write_results(options, "spread", reports, lines)
 
 
-def scenario(binary, arguments):
+def run_scenario(binary, arguments):
     result = subprocess.run([binary, "simulate", "--scenario", "steady", "--seeds", "1..3", "--output",
                              "json", *arguments], capture_output=True, text=True, check=True)
     return json.loads(result.stdout)[0]
@@ -238,7 +238,7 @@
                ["--rate", "250", "--slow-engines", "0.25", "--balance", name])
               for name in ("two-choices", "round-robin", "random")]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        reports = list(pool.map(lambda case: scenario(options.binary, case[1]), cases))
+        reports = list(pool.map(lambda case: run_scenario(options.binary, case[1]), cases))
     lines = ["Three seeds each, on the virtual clock; callers ask up to four times.", "",
              "| load | model answers/s | requests done | of the large tenant | of the others | "
              "attempts a request | p50 ms | p95 ms | p99 ms |",
@@ -252,7 +252,7 @@
             f"{100 * report['large_tenant_done'] / report['large_tenant_requests']:.1f} % | "
             f"{100 * others_done / others:.1f} % | {report['attempts'] / report['requests']:.2f} | "
             f"{report['p50_ms']:.0f} | {report['p95_ms']:.0f} | {report['p99_ms']:.0f} |")
-    write(options, "requests", reports, lines)
+    write_results(options, "requests", reports, lines)
 
 
 def main():
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -34,7 +34,7 @@
         return json.loads(response.read() or b"null")
 
 
-def number_of(text):
+def parse_sample_value(text):
     """A sample's value: counters are whole, sums of durations are not."""
     return float(text) if "." in text else int(text)
 
@@ -66,7 +66,7 @@
         self.machines = {}
         self.settings = {}
         self.service_urls = {}
-        self.spare = 10
+        self.next_host = 10
         atexit.register(self.stop)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: sys.exit(130))
@@ -74,15 +74,15 @@
     # ---- processes ----
 
     def start(self, name, arguments, environment=None):
-        again = name in self.processes
-        log = open(self.work / f"{name}.log", "ab" if again else "wb")
+        restarted = name in self.processes
+        log = open(self.work / f"{name}.log", "ab" if restarted else "wb")
         process = subprocess.Popen(arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL,
                                    env={**os.environ, **(environment or {})})
         log.close()
         self.processes[name] = process
         return process
 
-    def standin(self, name, kind, address, *flags):
+    def start_standin(self, name, kind, address, *flags):
         url = f"http://{address}:{STANDIN_PORT}"
         self.start(name, [str(self.build / "shuntrun-standin"), kind, "--address", address, "--port",
                           str(STANDIN_PORT), *flags])
@@ -101,16 +101,16 @@
             process.wait()
         self.processes.clear()
 
-    def kill(self, name, number=signal.SIGKILL):
-        self.processes[name].send_signal(number)
+    def kill(self, name, signal_number=signal.SIGKILL):
+        self.processes[name].send_signal(signal_number)
 
     # ---- platform ----
 
     def start_platform(self, origin_bytes_per_second, lag_ms=200):
-        self.config_url = self.standin("config", "values", f"{self.prefix}.0.1")
-        self.machines_url = self.standin("machines", "values", f"{self.prefix}.0.2", "--lag-ms",
+        self.config_url = self.start_standin("config", "values", f"{self.prefix}.0.1")
+        self.machines_url = self.start_standin("machines", "values", f"{self.prefix}.0.2", "--lag-ms",
                                          str(lag_ms))
-        self.origin_url = self.standin("origin", "origin", f"{self.prefix}.0.3",
+        self.origin_url = self.start_standin("origin", "origin", f"{self.prefix}.0.3",
                                        "--bytes-per-second", str(origin_bytes_per_second))
         for url in (self.config_url, self.machines_url, self.origin_url):
             wait_until(url, lambda u=url: call(u + "/admin/stats"))
@@ -130,11 +130,11 @@
     # ---- nodes ----
 
     def add_node(self, name, role, zone, flags):
-        address = f"{self.prefix}.{zone}.{self.spare}"
-        self.spare += 1
+        address = f"{self.prefix}.{zone}.{self.next_host}"
+        self.next_host += 1
         self.machines[name] = {
             "name": name, "role": role, "zone": f"zone-{zone}", "region": f"region-{zone}",
-            "rack": f"rack-{zone}-{self.spare % 2}", "address": address,
+            "rack": f"rack-{zone}-{self.next_host % 2}", "address": address,
             "control_port": CONTROL_PORT, "traffic_port": TRAFFIC_PORT, "http_port": HTTP_PORT,
             "state": "live"}
         self.settings[name] = ["--name", name, "--zone", f"zone-{zone}", "--region",
@@ -151,7 +151,7 @@
         self.start_node(name)
 
     def add_engine_agent(self, name, zone, *flags, engine_flags=()):
-        engine = self.standin(f"{name}-engine", "engine", f"{self.prefix}.{zone}.{100 + self.spare}",
+        engine = self.start_standin(f"{name}-engine", "engine", f"{self.prefix}.{zone}.{100 + self.next_host}",
                               *engine_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--engine-url", engine,
                                             *flags])
@@ -159,15 +159,15 @@
         self.start_node(name)
 
     def add_service_agent(self, name, zone, service, *flags, service_flags=()):
-        url = self.standin(f"{name}-service", "service",
-                           f"{self.prefix}.{zone}.{100 + self.spare}", *service_flags)
+        url = self.start_standin(f"{name}-service", "service",
+                           f"{self.prefix}.{zone}.{100 + self.next_host}", *service_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--service-url", url,
                                             "--service-name", service, *flags])
         self.machines[name].update({"accelerators": 0, "services": [service]})
         self.service_urls[name] = url
         self.start_node(name)
 
-    def put_link_before(self, name, port=TRAFFIC_PORT + 100):
+    def add_link_relay(self, name, port=TRAFFIC_PORT + 100):
         """Requests to an agent go through a relay that can stall and cut."""
         machine = self.machines[name]
         self.start(f"{name}-link", [
@@ -187,7 +187,7 @@
         with request.open(self.http(name) + "/metrics", timeout=5) as response:
             lines = response.read().decode().splitlines()
         samples = (line.rsplit(" ", 1) for line in lines if not line.startswith("#"))
-        return {name: number_of(text) for name, text in samples}
+        return {name: parse_sample_value(text) for name, text in samples}
 
     def serves(self, name, version):
         return any(ready["version"] == version for ready in self.status(name)["ready"])
--- a/tests/system/fleet_test.py
+++ b/tests/system/fleet_test.py
@@ -43,7 +43,7 @@
         fleet.add_engine_agent(f"engine-{number}", 1, *flags, *agent_flags)
     fleet.add_service_agent("seats-0", 1, "seats", *flags)
     if through_link:
-        fleet.put_link_before(through_link)
+        fleet.add_link_relay(through_link)
     fleet.publish_machines()
     model = fleet.make_model("script", "v1", 4 << 20, 1 << 19, seed=1)
     fleet.publish_config(demo.make_config("v1", model, fleet.agents(engines=False)))
