--- a/schema/generate_settings.py
+++ b/schema/generate_settings.py
@@ -30,9 +30,11 @@
 
 
 def schema_header(settings):
-    lines = [GENERATED_NOTICE, "#ifndef SHUNTRUN_SETTINGS_SCHEMA_H\n#define SHUNTRUN_SETTINGS_SCHEMA_H\n",
+    """Return the text of settings_schema.h."""
+    lines = [GENERATED_NOTICE,
+             "#ifndef SHUNTRUN_SETTINGS_SCHEMA_H\n#define SHUNTRUN_SETTINGS_SCHEMA_H\n",
              "#include <stdbool.h>\n#include <stdint.h>\n",
-             "/** Every setting of the daemons, typed; see docs/CONFIGURATION.md. */",
+             "/** Settings of all daemons; see docs/CONFIGURATION.md. */",
              "struct settings {"]
     for setting in settings:
         lines.append(f"    {C_TYPES[setting['type']]}{field_name(setting)};")
@@ -41,6 +43,7 @@
 
 
 def schema_source(settings):
+    """Return the text of settings_schema.c."""
     lines = [GENERATED_NOTICE, '#include "base/settings.h"\n#include <stddef.h>\n',
              "const struct setting_descriptor setting_descriptors[SETTING_COUNT] = {"]
     for setting in settings:
@@ -57,13 +60,14 @@
 
 
 def settings_reference(settings):
+    """Return the text of docs/CONFIGURATION.md."""
     lines = ["# Settings", "",
-             "Generated from `schema/settings.json`. Each setting is a flag (`--name VALUE`), a variable",
-             "(`SHUNTRUN_NAME`) or a line `name = value` of the file given by `--settings FILE`. A flag goes",
-             "before a variable, a variable before the file. All findings are reported together, with their",
-             "place, and the process ends with status 2 before anything is started.", "",
-             "Types: `most` and `least` are bounds that may be fractions, and are rounded to whole units so",
-             "that they are still kept: `most` down, `least` up.", "",
+             "Generated from `schema/settings.json`. Each setting is a flag (`--name VALUE`), an environment",
+             "variable (`SHUNTRUN_NAME`) or a line `name = value` of the file given by `--settings FILE`. Flags",
+             "take precedence over variables, and variables over the file. All errors are reported together,",
+             "each with its source, and the process exits with status 2 before it starts anything.", "",
+             "Types: `most` is an upper and `least` a lower bound. Both may be fractions and are rounded to",
+             "whole units so that the bound still holds: `most` down, `least` up.", "",
              "| setting | roles | type | unit | default | range | meaning |",
              "| --- | --- | --- | --- | --- | --- | --- |"]
     for setting in settings:
--- a/scripts/bench_rollout.py
+++ b/scripts/bench_rollout.py
@@ -1,6 +1,9 @@
 #!/usr/bin/env python3
-"""A rollout to real agents in processes of their own over paced links, beside the simulator's
-prediction for the same links. Bounded: one rollout, loopback only."""
+"""Compare a rollout to real agents with the simulator's prediction.
+
+The agents are separate processes on loopback with rate-limited links; the simulator gets the same
+link rates. Runs one rollout.
+"""
 import argparse
 import json
 import pathlib
@@ -13,18 +16,19 @@
 from fleet import Fleet, call, wait_until  # noqa: E402
 
 
-def run_real(options, model_bytes, chunk_bytes, link, origin):
+def run_real(options, model_bytes, chunk_bytes, link_rate, origin_rate):
+    """Run the rollout on real agents; the rates are bytes per second."""
     fleet = Fleet(options.build, options.work)
-    fleet.start_platform(origin, lag_ms=0)
+    fleet.start_platform(origin_rate, lag_ms=0)
     for number in range(options.agents):
         fleet.add_engine_agent(f"engine-{number}", number % 3 + 1, "--link-bytes-per-second",
-                               str(link), "--weights-memory-mb", "128")
+                               str(link_rate), "--weights-memory-mb", "128")
     fleet.add_service_agent("seats-0", 1, "seats")
     fleet.publish_machines()
     model = fleet.make_model("script", "v1", model_bytes, chunk_bytes, seed=1)
     for agent in fleet.agents():
-        wait_until(f"{agent} knows the machines", lambda a=agent: fleet.status(a)["machines"] > 0)
-    time.sleep(1)  # links between agents come up; the clock starts after
+        wait_until(f"{agent} has the machine list", lambda a=agent: fleet.status(a)["machines"] > 0)
+    time.sleep(1)  # excludes connection set-up between agents from the measured time
     started_at = time.monotonic()
     fleet.publish_config(demo.make_config("v1", model, ["seats-0"]))
     loaded, serving = {}, {}
@@ -43,12 +47,13 @@
     copies = call(fleet.origin_url + "/admin/stats")["chunk_bytes"] / model_bytes
     fleet.stop()
     if len(serving) < options.agents:
-        raise SystemExit(f"only {len(serving)} of {options.agents} agents serve")
+        raise SystemExit(f"only {len(serving)} of {options.agents} agents are serving")
     return {"whole_seconds": max(loaded.values()), "serving_seconds": max(serving.values()),
             "origin_copies": copies}
 
 
 def predict(options, model_bytes, chunk_bytes, window):
+    """Simulate the same rollout; `window` is in seconds."""
     result = subprocess.run(
         [f"{options.build}/shuntrun", "simulate", "--machines", str(options.agents), "--zones", "3",
          "--regions", "3", "--model-bytes", str(model_bytes), "--chunk-bytes", str(chunk_bytes),
@@ -65,9 +70,9 @@
     parser.add_argument("--window", type=float, default=12)
     options = parser.parse_args()
     model_bytes, chunk_bytes = 24 << 20, 256 << 10
-    link = int(2 * model_bytes / options.window)
-    origin = int(4 * model_bytes / options.window)
-    real = run_real(options, model_bytes, chunk_bytes, link, origin)
+    link_rate = int(2 * model_bytes / options.window)
+    origin_rate = int(4 * model_bytes / options.window)
+    real = run_real(options, model_bytes, chunk_bytes, link_rate, origin_rate)
     predicted = predict(options, model_bytes, chunk_bytes, options.window)
     report = {"agents": options.agents, "window_seconds": options.window,
               "model_bytes": model_bytes, "chunk_bytes": chunk_bytes, "real": real,
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Measure slopes of state, messages, processor time and memory, fit lines, and work out the target
-size. Writes docs/results/capacity.md and .json. Bounded: a few minutes, loopback only.
+"""Measure CPU time, memory and control traffic against load and fit a line to each.
 
-  nodes      hollow nodes (the real control core) in one process, at five fleet sizes
-  requests   a real gateway and real agents under four request rates
-  chunks     a real agent's memory at five manifest sizes
+Writes docs/results/capacity.md and capacity.json. Runs a few minutes, on loopback only.
+
+  nodes      simulated nodes (the real control core) in one process, at five fleet sizes
+  requests   a real gateway and real agents at four request rates
+  chunks     memory of a real agent at five manifest sizes
 """
 import argparse
 import json
@@ -28,7 +29,7 @@
 
 
 def fit_linear(points):
-    """Least squares: value = base + slope * size; residuals as shares of the value."""
+    """Fit value = base + slope * size by least squares; residuals are fractions of the value."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -41,7 +42,10 @@
 
 
 def measure_nodes(options):
-    """Fleets on the virtual clock; the simulation's own work counts too, so this is an upper bound."""
+    """Simulate fleets on a virtual clock.
+
+    The measured CPU time includes that of the simulator, so it is an upper bound for the nodes.
+    """
     rows = []
     for engines in ENGINE_COUNTS:
         gateways = max(2, engines // 8)
@@ -53,7 +57,7 @@
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
         report = json.loads(result.stdout)[0]
         nodes = engines + gateways + 4
-        seconds = 26  # of virtual time: start, arrivals, aftermath
+        seconds = 26  # virtual time: start-up, request arrivals and the time after them
         rows.append({
             "nodes": nodes,
             "cpu_ms_per_node_second":
@@ -66,6 +70,7 @@
 
 
 def process_usage(process):
+    """Return the CPU time in seconds and the resident memory in MiB of a running process."""
     with open(f"/proc/{process.pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
     with open(f"/proc/{process.pid}/status", encoding="ascii") as status:
@@ -74,6 +79,7 @@
 
 
 def start_small_fleet(options, name, chunk_count, engines=4):
+    """Start one gateway and `engines` agents that serve a model of `chunk_count` 4 KiB chunks."""
     fleet = Fleet(options.build, pathlib.Path(options.work) / name)
     fleet.start_platform(1 << 30, lag_ms=0)
     fleet.add_gateway("gateway-1", 1)
@@ -89,6 +95,7 @@
 
 
 def measure_requests(options):
+    """Measure the CPU share and memory of a gateway and its agents at each request rate."""
     fleet = start_small_fleet(options, "requests", 16)
     rows = []
     try:
@@ -99,7 +106,8 @@
             done = 0
             if rate:
                 fleet.start_load("load", "script", "--tenants", "water", "--rate", str(rate),
-                                 "--seconds", str(LOAD_SECONDS), "--tokens", str(TOKENS_PER_REQUEST))
+                                 "--seconds", str(LOAD_SECONDS), "--tokens",
+                                 str(TOKENS_PER_REQUEST))
                 done = fleet.load_report("load")["outcomes"]["done"]
             else:
                 time.sleep(LOAD_SECONDS)
@@ -123,6 +131,7 @@
 
 
 def measure_chunks(options):
+    """Measure the memory of an agent at each manifest size."""
     rows = []
     for count in CHUNK_COUNTS:
         fleet = start_small_fleet(options, f"chunks-{count}", count, engines=2)
@@ -169,21 +178,24 @@
         "control bytes per node and second, over nodes":
             ("B/s per node", fit_linear([(r["nodes"], r["bytes_per_node_second"]) for r in nodes])),
         "platform calls in the busiest second, over nodes":
-            ("calls per node", fit_linear([(r["nodes"], r["platform_calls_per_second"]) for r in nodes])),
+            ("calls per node",
+             fit_linear([(r["nodes"], r["platform_calls_per_second"]) for r in nodes])),
         "gateway core share, over tokens a second":
             ("cores per token/s", fit_linear([(r["tokens_per_second"], r["gateway_core_share"])
-                                       for r in loaded])),
+                                              for r in loaded])),
         "agent core share, over its own requests a second":
-            ("cores per request/s", fit_linear([(r["agent_requests_per_second"], r["agent_core_share"])
-                                         for r in loaded])),
+            ("cores per request/s",
+             fit_linear([(r["agent_requests_per_second"], r["agent_core_share"])
+                         for r in loaded])),
         "gateway memory, MB, over requests a second":
             ("MB per request/s", fit_linear([(r["requests_per_second"], r["gateway_rss_mb"])
-                                      for r in requests])),
+                                             for r in requests])),
         "agent memory without chunk data, MB, over chunks":
             ("MB per chunk", fit_linear([(r["chunks"], r["control_mb"]) for r in chunks])),
     }
     lines = ["Measured by `scripts/capacity.py`.", "", "## Hollow nodes in one process", ""]
-    lines += markdown_table(nodes) + ["", "## A real gateway and four real agents", ""] + markdown_table(requests)
+    lines += markdown_table(nodes) + ["", "## A real gateway and four real agents", ""]
+    lines += markdown_table(requests)
     lines += ["", "## A real agent over the size of a manifest", ""] + markdown_table(chunks)
     lines += ["", "## Fits: value = base + slope x size", "",
               "| quantity | base | slope | unit of slope | residuals |",
--- a/scripts/cut_streams.py
+++ b/scripts/cut_streams.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Counts the streams that clients lost, by reason, in the logs of edges.
+"""Count cut streams and retries by reason in the logs of gateways (edges).
 
-A stream is cut when its client got events and then a reset: `event=cut`.
+A stream is cut when its client got events and then a reset; gateways log it as `event=cut`.
 
-usage: cut_streams.py [LOG...]     (standard input without LOG)
+usage: cut_streams.py [LOG...]     (reads standard input if no LOG is given)
 """
 import collections
 import re
@@ -14,11 +14,12 @@
 
 
 def parse_fields(line):
+    """Return the `name=value` fields of a log line."""
     return {name: value.strip('"') for name, value in FIELD.findall(line)}
 
 
 def count_events(log):
-    """Cut streams by (reason, how each attempt ended), and attempts that were followed by another."""
+    """Return cut streams by (reason, outcomes of the attempts), and retries by reason."""
     cut_streams, retries = collections.Counter(), collections.Counter()
     for line in log:
         if "subsystem=request" not in line:
@@ -38,7 +39,7 @@
     for (reason, attempts), number in cut_streams.most_common():
         print("  %5d  %s, attempts: %s" % (number, reason, attempts))
     for reason, number in retries.most_common():
-        print("  %5d  attempts went on elsewhere: %s" % (number, reason))
+        print("  %5d  attempts retried elsewhere: %s" % (number, reason))
 
 
 def main():
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,10 @@
 #!/usr/bin/env python3
-"""The main job in small: weights to every engine in a burst, a second version under traffic, one
-back end and one gateway drained, and every answer checked. Exit status 0 when nothing was lost,
-doubled, cut or mixed."""
+"""End-to-end demonstration on loopback.
+
+Rolls out a model to all engines, replaces it by a second version under traffic, drains one engine
+and one gateway, and checks every response. Exit status 0 if no response was lost, cut, duplicated
+or mixed from two versions.
+"""
 import argparse
 import json
 import pathlib
@@ -15,7 +18,7 @@
 
 MODEL_BYTES = 48 << 20
 CHUNK_BYTES = 1 << 20
-ORIGIN_RATE = 64 << 20
+ORIGIN_BYTES_PER_SECOND = 64 << 20
 TENANTS = "water:5,billing:3,gas:1"
 POLICY = [
     "-- Every engine holds the script model; large tenants do not go before small ones.",
@@ -43,7 +46,7 @@
 
 
 class RolloutTimer(threading.Thread):
-    """Notes when each agent first serves a version."""
+    """Record the seconds until each agent first serves a version."""
 
     def __init__(self, fleet, names, version):
         super().__init__(daemon=True)
@@ -63,6 +66,7 @@
             time.sleep(0.01)
 
     def wait(self, what):
+        """Wait until all agents serve the version; return the times to half and to all of them."""
         wait_until(what, lambda: set(self.seconds) == self.names)
         ordered = sorted(self.seconds.values())
         return {"replicas": len(ordered), "half_seconds": ordered[(len(ordered) - 1) // 2],
@@ -71,7 +75,7 @@
 
 def build_fleet(options):
     fleet = Fleet(options.build, options.work)
-    fleet.start_platform(ORIGIN_RATE)
+    fleet.start_platform(ORIGIN_BYTES_PER_SECOND)
     for zone in (1, 2, 3):
         fleet.add_gateway(f"gateway-{zone}", zone, "--endpoints-max-age-ms", "1500")
         for number in range(3):
@@ -82,7 +86,7 @@
 
 
 def reconcile_seats(fleet, record):
-    """Reconcile what callers were told with what the services ran."""
+    """Compare the outcomes that callers recorded with the runs that the services recorded."""
     runs = {}
     for name in fleet.agents(engines=False):
         url = fleet.service_urls[name]
@@ -99,6 +103,7 @@
 
 
 def chunk_sources(fleet, names):
+    """Sum the received chunks by source, and the rejected ones, over the named agents."""
     totals = {"peer": 0, "origin": 0, "rejected": 0}
     for name in names:
         counters = fleet.counters(name)
@@ -154,7 +159,8 @@
     answers = {name: script["outcomes"][name] + seat_calls["outcomes"][name]
                for name in script["outcomes"]}
     violations = sum(answers[name] for name in ("lost", "cut", "doubled", "mixed"))
-    violations += sum(seat_violations.values()) + sum(s["exit_status"] != 0 for s in stopped.values())
+    violations += sum(seat_violations.values())
+    violations += sum(s["exit_status"] != 0 for s in stopped.values())
     summary = {
         "engines": len(engines), "gateways": 3, "service_agents": len(seats), "zones": 3,
         "model_bytes": MODEL_BYTES, "chunk_bytes": CHUNK_BYTES,
@@ -172,8 +178,8 @@
     print()
     for version in ("v1", "v2"):
         rollout = summary[version]
-        print(f"{version}: {rollout['replicas']} replicas serve after {rollout['all_seconds']:.2f} s "
-              f"(half after {rollout['half_seconds']:.2f} s); the origin gave "
+        print(f"{version}: {rollout['replicas']} replicas serving after "
+              f"{rollout['all_seconds']:.2f} s (half after {rollout['half_seconds']:.2f} s); the origin sent "
               f"{rollout['origin_copies']:.2f} copies of {summary['model_bytes'] >> 20} MB")
     sources = summary["chunk_sources"]
     print(f"chunks: {sources['peer']} from peers, {sources['origin']} from the origin, "
@@ -184,7 +190,7 @@
           f"{answers['doubled']} doubled, {answers['mixed']} mixed")
     print(f"answers by version: {summary['answers_by_version']}")
     first = summary["first_token_ms"]
-    print(f"first token: {first['p50']:.0f} ms median, {first['p95']:.0f} ms for 95 in 100")
+    print(f"first token: {first['p50']:.0f} ms median, {first['p95']:.0f} ms p95")
     for name, stop in summary["drained"].items():
         print(f"{name} drained and stopped after {stop['seconds']:.1f} s, "
               f"exit status {stop['exit_status']}")
--- a/scripts/experiments.py
+++ b/scripts/experiments.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Experiments on the simulator: tables as Markdown and JSON, and a plot. Bounded in count and time.
+"""Run simulator experiments; writes tables as Markdown and JSON, and a plot.
 
-  strategies   swarm against the baselines over the number of machines, with a plot
+  strategies   the swarm strategy and the baselines at several fleet sizes, with a plot
   faults       each fault alone and all together, over many seeds
-  sweep        chunk size, neighbours, downloads and uploads, announcements
-  requests     overload, a large tenant, and slow engines under three algorithms
-  spread       replicas lost with one zone or pool, with and without a bound, by `shuntrun plan`
+  sweep        chunk size, neighbours, concurrent downloads and uploads, announcement interval
+  requests     overload, a large tenant, and slow engines under three balancing algorithms
+  spread       replicas lost with one zone or pool, with and without a spread limit (`shuntrun plan`)
 """
 import argparse
 import collections
@@ -45,6 +45,7 @@
 
 
 def simulate(binary, arguments):
+    """Run one rollout simulation; return its report, with `wall_seconds` added."""
     result = subprocess.run([binary, "simulate", "--output", "json", *arguments],
                             capture_output=True, text=True, check=False)
     if result.returncode not in (0, 1, 3):
@@ -90,13 +91,14 @@
         ratio = "" if time is None else f"{time / bound:.3f}"
         lines.append(f"| {strategy} | {size} | {format_seconds(time)} | "
                      f"{format_seconds(report['time_to_half_seconds'])} | {bound:.1f} | {ratio} | "
-                     f"{origin_copies(report):.3f} | {report['control_bytes_per_machine_per_second']:.0f} |")
+                     f"{origin_copies(report):.3f} | "
+                     f"{report['control_bytes_per_machine_per_second']:.0f} |")
     write_results(options, "strategies", reports, lines)
     plot(options, cases, reports)
 
 
 def plot(options, cases, reports):
-    """An SVG by gnuplot: time to N over the number of machines, both axes logarithmic."""
+    """Plot the time to N against the number of machines with gnuplot, as SVG, on log-log axes."""
     names = list(dict.fromkeys(strategy for strategy, _ in cases))
     script = ["set terminal svg size 760,460 font 'sans,13'",
               f"set output '{options.output}/strategies.svg'", "set logscale xy",
@@ -163,7 +165,7 @@
 
 
 def spread_machines(machines):
-    """Six zones of unlike size, a third of the machines preemptible, most of them in two zones."""
+    """Return machines in six zones of unequal size; preemptible ones are in the first two zones."""
     result = []
     for number in range(machines):
         zone = (0, 0, 0, 1, 1, 2, 3, 4, 5, 5)[number % 10]
@@ -175,6 +177,7 @@
 
 
 def plan_targets(options, work, machines, policy, replicas):
+    """Return the names of the machines on which the policy places replicas of a model."""
     config = {"models": [{"name": "m", "version": "v1", "manifest": "0" * 64, "bytes": 1,
                           "replicas": replicas, "accelerators": 8}], "policy": policy}
     old = {**config, "models": [{**config["models"][0], "manifest": "1" * 64}]}
@@ -223,13 +226,14 @@
 
 
 def run_scenario(binary, arguments):
+    """Simulate steady traffic with three seeds; return the report."""
     result = subprocess.run([binary, "simulate", "--scenario", "steady", "--seeds", "1..3", "--output",
                              "json", *arguments], capture_output=True, text=True, check=True)
     return json.loads(result.stdout)[0]
 
 
 def requests(options):
-    """12 engines of 16 requests at once and 0.42 s each: at most 457 model requests a second."""
+    """Simulate request loads. 12 engines with 16 slots and 0.42 s a request serve at most 457/s."""
     cases = [(f"{rate} requests/s, of which 60 % for the model", ["--rate", str(rate)])
              for rate in (300, 600, 800, 1600, 4000)]
     cases += [(f"1600 requests/s, one tenant sends {share} %",
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,7 @@
-"""Start a small fleet on loopback for the demonstration and the system tests.
+"""Start and stop a small fleet on loopback, for the demonstration and the system tests.
 
-Every process is started here and ended here, by its own handle, also on failure and Ctrl-C.
+All processes are children of the calling script; each is killed through its own handle, also on
+failure and Ctrl-C.
 """
 import atexit
 import json
@@ -22,11 +23,11 @@
 
 
 class FleetError(Exception):
-    """Something that the fleet was waiting for did not come about."""
+    """A condition was not met before its timeout."""
 
 
 def call(url, body=None, timeout=5):
-    """GET, or POST when there is a body; returns the parsed JSON answer."""
+    """GET, or POST when there is a body; returns the parsed JSON response."""
     data = None if body is None else (body if isinstance(body, bytes) else json.dumps(body).encode())
     request = urllib.request.Request(url, data=data)
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
@@ -35,12 +36,12 @@
 
 
 def parse_sample_value(text):
-    """A sample's value: counters are whole, sums of durations are not."""
+    """Parse the value of a metrics sample: counters are integers, sums of durations are floats."""
     return float(text) if "." in text else int(text)
 
 
 def wait_until(what, condition, seconds=WAIT_SECONDS):
-    """Poll a condition; returns its first true value."""
+    """Poll a condition until it is true; returns its value. Connection errors count as false."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -50,11 +51,11 @@
         if value:
             return value
         time.sleep(0.02)
-    raise FleetError(f"waited {seconds} s in vain: {what}")
+    raise FleetError(f"timed out after {seconds} s: {what}")
 
 
 class Fleet:
-    """Stand-ins, gateways and agents, each on an address of its own in 127.0.0.0/8."""
+    """Platform stand-ins, gateways and agents, each on its own address in 127.0.0.0/8."""
 
     def __init__(self, build, work, zones=3):
         self.build = pathlib.Path(build)
@@ -89,7 +90,7 @@
         return url
 
     def restart_standin(self, name):
-        """Start a stand-in that ended again, with the arguments it had."""
+        """Restart a stopped stand-in with the same arguments."""
         self.start(name, self.processes[name].args)
 
     def stop(self):
@@ -108,10 +109,10 @@
 
     def start_platform(self, origin_bytes_per_second, lag_ms=200):
         self.config_url = self.start_standin("config", "values", f"{self.prefix}.0.1")
-        self.machines_url = self.start_standin("machines", "values", f"{self.prefix}.0.2", "--lag-ms",
-                                         str(lag_ms))
+        self.machines_url = self.start_standin("machines", "values", f"{self.prefix}.0.2",
+                                               "--lag-ms", str(lag_ms))
         self.origin_url = self.start_standin("origin", "origin", f"{self.prefix}.0.3",
-                                       "--bytes-per-second", str(origin_bytes_per_second))
+                                             "--bytes-per-second", str(origin_bytes_per_second))
         for url in (self.config_url, self.machines_url, self.origin_url):
             wait_until(url, lambda u=url: call(u + "/admin/stats"))
 
@@ -151,8 +152,8 @@
         self.start_node(name)
 
     def add_engine_agent(self, name, zone, *flags, engine_flags=()):
-        engine = self.start_standin(f"{name}-engine", "engine", f"{self.prefix}.{zone}.{100 + self.next_host}",
-                              *engine_flags)
+        engine = self.start_standin(f"{name}-engine", "engine",
+                                    f"{self.prefix}.{zone}.{100 + self.next_host}", *engine_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--engine-url", engine,
                                             *flags])
         self.machines[name]["accelerators"] = 8
@@ -160,7 +161,7 @@
 
     def add_service_agent(self, name, zone, service, *flags, service_flags=()):
         url = self.start_standin(f"{name}-service", "service",
-                           f"{self.prefix}.{zone}.{100 + self.next_host}", *service_flags)
+                                 f"{self.prefix}.{zone}.{100 + self.next_host}", *service_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--service-url", url,
                                             "--service-name", service, *flags])
         self.machines[name].update({"accelerators": 0, "services": [service]})
@@ -168,7 +169,7 @@
         self.start_node(name)
 
     def add_link_relay(self, name, port=TRAFFIC_PORT + 100):
-        """Requests to an agent go through a relay that can stall and cut."""
+        """Start a relay in front of an agent's traffic port that can stall or reset connections."""
         machine = self.machines[name]
         self.start(f"{name}-link", [
             str(self.build / "shuntrun-standin"), "link", "--address", machine["address"], "--port",
@@ -183,6 +184,7 @@
         return call(self.http(name) + "/v1/status")
 
     def counters(self, name):
+        """Return the samples of a node's metrics page by name, with their labels."""
         request = urllib.request.build_opener(urllib.request.ProxyHandler({}))
         with request.open(self.http(name) + "/metrics", timeout=5) as response:
             lines = response.read().decode().splitlines()
--- a/scripts/install-dependencies.sh
+++ b/scripts/install-dependencies.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Install what the build and the tests need, from Debian's packages; does nothing when all is there.
+# Installs the Debian packages that the build and the tests need, unless all are installed.
 set -euo pipefail
 packages=(gcc g++ cmake ninja-build pkg-config python3 git clang-format clang-tidy cppcheck
   libmicrohttpd-dev libcurl4-openssl-dev libck-dev libzmq3-dev libprotobuf-c-dev
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatting, static analysis, and whether the committed generated code is current.
+# Checks formatting, runs static analysis, and checks that the committed generated code is current.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t sources < <(git ls-files 'src/*.c' 'src/*.h' 'platform/*.c' 'platform/*.h' 'tests/*.c' 'tests/*.h' | grep -v '^src/generated/')
@@ -15,7 +15,8 @@
   -j "$(nproc)" src platform tests
 
 echo "clocks"
-# Ages and deadlines count all time that passes: one file reads the clocks, and log lines the date.
+# Ages and deadlines must include the time in which a machine is suspended, so only clock.c reads
+# the clocks; log.c reads the date for log lines.
 if git grep -nE 'clock_gettime|gettimeofday|uv_now|uv_hrtime|[^_a-z]time\(NULL\)' -- 'src/*.c' 'src/*.h' 'platform/*' \
   ':!src/base/clock.c' ':!src/base/log.c'; then
   echo "clocks are read in src/base/clock.c only" >&2
