--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do all set-up on a fresh Debian machine: `make demo` and `make check`.
+# `make demo` and `make check` install all dependencies on a fresh Debian machine.
 BUILD := build/release
 JOBS ?= $(shell nproc)
 
@@ -14,7 +14,7 @@
 demo: build
 	python3 scripts/demo.py --build $(BUILD)
 
-# The build that the users' platform makes: type Release, without tests.
+# The same build as on the users' platform: type Release, without tests.
 deploy-build: dependencies
 	cmake -S . -B build/deploy -G Ninja -DCMAKE_BUILD_TYPE=Release -DSHUNTRUN_TESTS=OFF
 	cmake --build build/deploy -j $(JOBS) --target shuntrun
@@ -32,7 +32,7 @@
 	cmake --build --preset tsan -j $(JOBS)
 	scripts/run_tests.sh build/tsan
 
-# Real processes with faults from outside, for hand: make soak SEEDS=1..50 SECONDS=20
+# Runs real processes under injected faults, to be started by hand: make soak SEEDS=1..50 SECONDS=20
 SEEDS ?= 1..50
 SECONDS ?= 20
 
--- a/policies/granite_lane.lua
+++ b/policies/granite_lane.lua
@@ -1,4 +1,5 @@
--- Matchmaking for three rival studios, who share the origin's cost: one copy leaves the origin.
+-- Matchmaking for three competing studios that share the cost of the origin, so a rollout reads only
+-- one copy of the weights from it.
 
 function place(model, machine)
   if machine.accelerators < model.accelerators then
@@ -11,12 +12,12 @@
   return math.max(model.replicas, 2 * fleet.regions)
 end
 
--- Races start in every region: spread evenly.
+-- Matches start in all regions, so no zone holds more than 40 % of a model's replicas.
 function spread(model)
   return 0.4
 end
 
--- All studios wait in the same line.
+-- All tenants have the same priority.
 function tenant_order(tenant)
   return 0
 end
--- a/policies/harrowgate.lua
+++ b/policies/harrowgate.lua
@@ -1,6 +1,6 @@
--- Call-centre scripts: agents cannot wait, so time goes before the origin's bytes.
+-- Call-centre scripts: call-centre staff cannot wait, so rollouts favour time over origin traffic.
 
--- Script models go to reserved machines first; preemptible ones count half.
+-- Prefers reserved machines; preemptible ones get half their weight.
 function place(model, machine)
   if machine.accelerators < model.accelerators then
     return 0
@@ -11,7 +11,7 @@
   return 1
 end
 
--- At least one replica in each zone, and never fewer than the configuration asks for.
+-- At least as many replicas as zones, and at least as many as configured.
 function replicas(model, fleet)
   return math.max(model.replicas, fleet.zones)
 end
@@ -21,14 +21,14 @@
   return 0.5
 end
 
--- Gas leaks before billing disputes.
-local order = { gas = 1, water = 2, billing = 3 }
+-- Gas leaks are more urgent than billing disputes: lower values go first.
+local priority_by_tenant = { gas = 1, water = 2, billing = 3 }
 
 function tenant_order(tenant)
-  return order[tenant.name] or 10
+  return priority_by_tenant[tenant.name] or 10
 end
 
--- A machine may leave while its zone is not the only one.
+-- Machines may leave as long as the fleet has more than one zone.
 function may_leave(machine, fleet)
   return fleet.zones > 1
 end
