--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,7 @@
-"""Start a small fleet on loopback for the demonstration and the system tests.
+"""Start and stop a small fleet on loopback, for the demonstration and the system tests.
 
-Every process is started here and ended here, by its own handle, also on failure and Ctrl-C.
+All processes are children of the calling script; each is killed through its own handle, also on
+failure and Ctrl-C.
 """
 import atexit
 import json
@@ -22,11 +23,11 @@
 
 
 class FleetError(Exception):
-    """Something that the fleet was waiting for did not come about."""
+    """A condition was not met before its timeout."""
 
 
 def call(url, body=None, timeout=5):
-    """GET, or POST when there is a body; returns the parsed JSON answer."""
+    """GET, or POST when there is a body; returns the parsed JSON response."""
     data = None if body is None else (body if isinstance(body, bytes) else json.dumps(body).encode())
     request = urllib.request.Request(url, data=data)
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
@@ -34,13 +35,13 @@
         return json.loads(response.read() or b"null")
 
 
-def number_of(text):
-    """A sample's value: counters are whole, sums of durations are not."""
+def parse_sample_value(text):
+    """Parse the value of a metrics sample: counters are integers, sums of durations are floats."""
     return float(text) if "." in text else int(text)
 
 
 def wait_until(what, condition, seconds=WAIT_SECONDS):
-    """Poll a condition; returns its first true value."""
+    """Poll a condition until it is true; returns its value. Connection errors count as false."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -50,11 +51,11 @@
         if value:
             return value
         time.sleep(0.02)
-    raise FleetError(f"waited {seconds} s in vain: {what}")
+    raise FleetError(f"timed out after {seconds} s: {what}")
 
 
 class Fleet:
-    """Stand-ins, gateways and agents, each on an address of its own in 127.0.0.0/8."""
+    """Platform stand-ins, gateways and agents, each on its own address in 127.0.0.0/8."""
 
     def __init__(self, build, work, zones=3):
         self.build = pathlib.Path(build)
@@ -66,7 +67,7 @@
         self.machines = {}
         self.settings = {}
         self.service_urls = {}
-        self.spare = 10
+        self.next_host = 10
         atexit.register(self.stop)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: sys.exit(130))
@@ -74,22 +75,22 @@
     # ---- processes ----
 
     def start(self, name, arguments, environment=None):
-        again = name in self.processes
-        log = open(self.work / f"{name}.log", "ab" if again else "wb")
+        restarted = name in self.processes
+        log = open(self.work / f"{name}.log", "ab" if restarted else "wb")
         process = subprocess.Popen(arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL,
                                    env={**os.environ, **(environment or {})})
         log.close()
         self.processes[name] = process
         return process
 
-    def standin(self, name, kind, address, *flags):
+    def start_standin(self, name, kind, address, *flags):
         url = f"http://{address}:{STANDIN_PORT}"
         self.start(name, [str(self.build / "shuntrun-standin"), kind, "--address", address, "--port",
                           str(STANDIN_PORT), *flags])
         return url
 
     def restart_standin(self, name):
-        """Start a stand-in that ended again, with the arguments it had."""
+        """Restart a stopped stand-in with the same arguments."""
         self.start(name, self.processes[name].args)
 
     def stop(self):
@@ -101,17 +102,17 @@
             process.wait()
         self.processes.clear()
 
-    def kill(self, name, number=signal.SIGKILL):
-        self.processes[name].send_signal(number)
+    def kill(self, name, signal_number=signal.SIGKILL):
+        self.processes[name].send_signal(signal_number)
 
     # ---- platform ----
 
     def start_platform(self, origin_bytes_per_second, lag_ms=200):
-        self.config_url = self.standin("config", "values", f"{self.prefix}.0.1")
-        self.machines_url = self.standin("machines", "values", f"{self.prefix}.0.2", "--lag-ms",
-                                         str(lag_ms))
-        self.origin_url = self.standin("origin", "origin", f"{self.prefix}.0.3",
-                                       "--bytes-per-second", str(origin_bytes_per_second))
+        self.config_url = self.start_standin("config", "values", f"{self.prefix}.0.1")
+        self.machines_url = self.start_standin("machines", "values", f"{self.prefix}.0.2",
+                                               "--lag-ms", str(lag_ms))
+        self.origin_url = self.start_standin("origin", "origin", f"{self.prefix}.0.3",
+                                             "--bytes-per-second", str(origin_bytes_per_second))
         for url in (self.config_url, self.machines_url, self.origin_url):
             wait_until(url, lambda u=url: call(u + "/admin/stats"))
 
@@ -130,11 +131,11 @@
     # ---- nodes ----
 
     def add_node(self, name, role, zone, flags):
-        address = f"{self.prefix}.{zone}.{self.spare}"
-        self.spare += 1
+        address = f"{self.prefix}.{zone}.{self.next_host}"
+        self.next_host += 1
         self.machines[name] = {
             "name": name, "role": role, "zone": f"zone-{zone}", "region": f"region-{zone}",
-            "rack": f"rack-{zone}-{self.spare % 2}", "address": address,
+            "rack": f"rack-{zone}-{self.next_host % 2}", "address": address,
             "control_port": CONTROL_PORT, "traffic_port": TRAFFIC_PORT, "http_port": HTTP_PORT,
             "state": "live"}
         self.settings[name] = ["--name", name, "--zone", f"zone-{zone}", "--region",
@@ -151,24 +152,24 @@
         self.start_node(name)
 
     def add_engine_agent(self, name, zone, *flags, engine_flags=()):
-        engine = self.standin(f"{name}-engine", "engine", f"{self.prefix}.{zone}.{100 + self.spare}",
-                              *engine_flags)
+        engine = self.start_standin(f"{name}-engine", "engine",
+                                    f"{self.prefix}.{zone}.{100 + self.next_host}", *engine_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--engine-url", engine,
                                             *flags])
         self.machines[name]["accelerators"] = 8
         self.start_node(name)
 
     def add_service_agent(self, name, zone, service, *flags, service_flags=()):
-        url = self.standin(f"{name}-service", "service",
-                           f"{self.prefix}.{zone}.{100 + self.spare}", *service_flags)
+        url = self.start_standin(f"{name}-service", "service",
+                                 f"{self.prefix}.{zone}.{100 + self.next_host}", *service_flags)
         self.add_node(name, "agent", zone, ["--origin-url", self.origin_url, "--service-url", url,
                                             "--service-name", service, *flags])
         self.machines[name].update({"accelerators": 0, "services": [service]})
         self.service_urls[name] = url
         self.start_node(name)
 
-    def put_link_before(self, name, port=TRAFFIC_PORT + 100):
-        """Requests to an agent go through a relay that can stall and cut."""
+    def add_link_relay(self, name, port=TRAFFIC_PORT + 100):
+        """Start a relay in front of an agent's traffic port that can stall or reset connections."""
         machine = self.machines[name]
         self.start(f"{name}-link", [
             str(self.build / "shuntrun-standin"), "link", "--address", machine["address"], "--port",
@@ -183,11 +184,12 @@
         return call(self.http(name) + "/v1/status")
 
     def counters(self, name):
+        """Return the samples of a node's metrics page by name, with their labels."""
         request = urllib.request.build_opener(urllib.request.ProxyHandler({}))
         with request.open(self.http(name) + "/metrics", timeout=5) as response:
             lines = response.read().decode().splitlines()
         samples = (line.rsplit(" ", 1) for line in lines if not line.startswith("#"))
-        return {name: number_of(text) for name, text in samples}
+        return {name: parse_sample_value(text) for name, text in samples}
 
     def serves(self, name, version):
         return any(ready["version"] == version for ready in self.status(name)["ready"])
