--- a/src/net/status_page.c
+++ b/src/net/status_page.c
@@ -99,7 +99,7 @@
     pthread_mutex_lock(&page->lock);
     bool alive = clock_monotonic_us() < page->published_at_us + CONTROL_THREAD_STALL_US;
     pthread_mutex_unlock(&page->lock);
-    reply_text(exchange, alive ? 200 : 503, alive ? "ok\n" : "the control thread is stalled\n");
+    reply_text(exchange, alive ? 200 : 503, alive ? "ok\n" : "the control thread stands still\n");
 }
 
 static void reply_ready(struct status_page *page, struct http_exchange *exchange)
