--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -5,7 +5,7 @@
 #include "base/memory.h"
 #include "core/endpoints.h"
 #include "core/routing_view.h"
-#include "gateway/caller.h"
+#include "gateway/caller_api.h"
 #include "gateway/gateway_traffic.h"
 #include "net/daemon.h"
 #include "net/status_page.h"
@@ -15,10 +15,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define AGENT_SUBSET 32  /* agents known of each model */
-#define GATEWAY_LINKS 16 /* other gateways known */
-#define VIEW_US (50 * MICROSECONDS_PER_MILLISECOND)
-#define PUBLISH_US (200 * MICROSECONDS_PER_MILLISECOND)
+#define AGENT_SUBSET_SIZE 32 /* agents known of each model */
+#define MAX_GATEWAY_LINKS 16 /* other gateways known */
+#define VIEW_INTERVAL_US (50 * MICROSECONDS_PER_MILLISECOND)
+#define PUBLISH_INTERVAL_US (200 * MICROSECONDS_PER_MILLISECOND)
 
 struct gateway {
     struct settings settings;
@@ -26,22 +26,22 @@
     struct node_shell shell;
     struct status_page *page;
     struct gateway_traffic *traffic;
-    struct caller_front *front;
+    struct caller_api *api;
     struct daemon_drain drain;
-    uint64_t next_view;
-    uint64_t next_publish;
-    bool view_given;
+    uint64_t next_view_us;
+    uint64_t next_publish_us;
+    bool has_view;
 };
 
 /* Poll the agents of this gateway's subset, and other gateways for the address answer. */
-static void choose_links(struct gateway *gateway)
+static void select_links(struct gateway *gateway)
 {
     const struct fleet *fleet = node_fleet(gateway->shell.node);
     uint32_t count;
-    uint64_t *ids = routing_view_links(gateway->shell.node, AGENT_SUBSET, &count);
+    uint64_t *ids = routing_view_links(gateway->shell.node, AGENT_SUBSET_SIZE, &count);
     uint32_t gateways = 0;
-    ids = memory_realloc(ids, (count + GATEWAY_LINKS) * sizeof *ids);
-    for (uint32_t i = 0; i < fleet->count && gateways < GATEWAY_LINKS; i++) {
+    ids = memory_realloc(ids, (count + MAX_GATEWAY_LINKS) * sizeof *ids);
+    for (uint32_t i = 0; i < fleet->count && gateways < MAX_GATEWAY_LINKS; i++) {
         const struct machine *machine = &fleet->machines[i];
         if (machine->role != MACHINE_GATEWAY || machine->id == node_id(gateway->shell.node))
             continue;
@@ -52,14 +52,15 @@
     free(ids);
 }
 
-static void give_view(struct gateway *gateway, uint64_t now)
+static void refresh_view(struct gateway *gateway, uint64_t now)
 {
-    struct routing_view *view = routing_view_build(
-        gateway->shell.node, AGENT_SUBSET, gateway->settings.zone, gateway->settings.region, now);
+    struct routing_view *view =
+        routing_view_build(gateway->shell.node, AGENT_SUBSET_SIZE, gateway->settings.zone,
+                           gateway->settings.region, now);
     if (!view)
         return;
     gateway_traffic_set_view(gateway->traffic, view);
-    gateway->view_given = true;
+    gateway->has_view = true;
 }
 
 static void on_view_changed(void *context)
@@ -70,15 +71,15 @@
     if (self >= 0)
         daemon_set_listed_leaving(&gateway->drain, fleet->machines[self].leaving);
     daemon_publish_machines(&gateway->shell, gateway->page);
-    choose_links(gateway);
-    give_view(gateway, clock_monotonic_us());
+    select_links(gateway);
+    refresh_view(gateway, clock_monotonic_us());
 }
 
 /* A drained or restarted agent must get no new work: its news are used at once. */
 static void on_update(void *context, const struct peer *peer, const Shuntrun__NodeUpdate *update)
 {
     struct gateway *gateway = context;
-    gateway->next_view = 0;
+    gateway->next_view_us = 0;
 }
 
 /* ---- what callers are told ---- */
@@ -102,8 +103,9 @@
 static json_t *list_tickets(struct gateway *gateway, uint64_t now)
 {
     json_t *tickets = json_object();
-    struct routing_view *view = routing_view_build(
-        gateway->shell.node, AGENT_SUBSET, gateway->settings.zone, gateway->settings.region, now);
+    struct routing_view *view =
+        routing_view_build(gateway->shell.node, AGENT_SUBSET_SIZE, gateway->settings.zone,
+                           gateway->settings.region, now);
     for (uint32_t i = 0; view && i < view->service_count; i++) {
         char ticket[TICKET_SIZE];
         routing_view_format_ticket(view, &view->services[i], ticket);
@@ -113,28 +115,28 @@
     return tickets;
 }
 
-static const char *why_not_ready(const struct gateway *gateway)
+static const char *not_ready_reason(const struct gateway *gateway)
 {
-    if (!gateway->view_given)
+    if (!gateway->has_view)
         return "no configuration is in force";
     return daemon_is_draining(&gateway->drain) ? "draining" : "";
 }
 
-static void publish(struct gateway *gateway, uint64_t now)
+static void publish_status(struct gateway *gateway, uint64_t now)
 {
     json_t *status = daemon_status_json(&gateway->shell, "gateway", &gateway->drain);
     json_object_set_new(status, "active_requests",
-                        json_integer(gateway_traffic_active(gateway->traffic)));
-    status_page_publish(gateway->page, status, why_not_ready(gateway), now);
-    caller_front_publish(gateway->front, list_endpoints(gateway, now), list_tickets(gateway, now));
+                        json_integer(gateway_traffic_active_calls(gateway->traffic)));
+    status_page_publish(gateway->page, status, not_ready_reason(gateway), now);
+    caller_api_publish(gateway->api, list_endpoints(gateway, now), list_tickets(gateway, now));
 }
 
-static void tell_status(struct gateway *gateway, uint64_t now)
+static void update_node_status(struct gateway *gateway, uint64_t now)
 {
     struct node_status status = {
         .incarnation = gateway->shell.incarnation,
         .draining = daemon_is_draining(&gateway->drain),
-        .active_requests = gateway_traffic_active(gateway->traffic),
+        .active_requests = gateway_traffic_active_calls(gateway->traffic),
     };
     node_set_status(gateway->shell.node, now, &status);
 }
@@ -142,16 +144,16 @@
 static void on_tick(void *context, uint64_t now)
 {
     struct gateway *gateway = context;
-    if (now >= gateway->next_view) {
-        gateway->next_view = now + VIEW_US;
-        give_view(gateway, now);
+    if (now >= gateway->next_view_us) {
+        gateway->next_view_us = now + VIEW_INTERVAL_US;
+        refresh_view(gateway, now);
     }
-    tell_status(gateway, now);
-    if (now >= gateway->next_publish) {
-        gateway->next_publish = now + PUBLISH_US;
-        publish(gateway, now);
+    update_node_status(gateway, now);
+    if (now >= gateway->next_publish_us) {
+        gateway->next_publish_us = now + PUBLISH_INTERVAL_US;
+        publish_status(gateway, now);
     }
-    if (daemon_drain_done(&gateway->drain, gateway_traffic_active(gateway->traffic), now))
+    if (daemon_drain_done(&gateway->drain, gateway_traffic_active_calls(gateway->traffic), now))
         loop_stop(gateway->shell.loop);
 }
 
@@ -172,15 +174,15 @@
                         &callbacks) != STATUS_OK)
         return STATUS_IO;
     gateway->traffic = gateway_traffic_start(&gateway->settings, &gateway->shell, gateway->page);
-    gateway->front = caller_front_start(&gateway->settings, gateway->page, gateway->traffic);
-    return gateway->front ? STATUS_OK : STATUS_IO;
+    gateway->api = caller_api_start(&gateway->settings, gateway->page, gateway->traffic);
+    return gateway->api ? STATUS_OK : STATUS_IO;
 }
 
 static void close_gateway(struct gateway *gateway)
 {
-    caller_front_detach(gateway->front);
+    caller_api_detach(gateway->api);
     gateway_traffic_stop(gateway->traffic);
-    caller_front_stop(gateway->front);
+    caller_api_stop(gateway->api);
     if (gateway->shell.loop)
         node_shell_close(&gateway->shell);
     status_page_destroy(gateway->page);
@@ -200,7 +202,7 @@
                       gateway->settings.address, gateway->shell.incarnation);
             loop_run(gateway->shell.loop);
             log_event(LOG_LEVEL_INFO, "gateway", "stopped", "active=%u",
-                      gateway_traffic_active(gateway->traffic));
+                      gateway_traffic_active_calls(gateway->traffic));
         } else {
             log_event(LOG_LEVEL_ERROR, "gateway", "start_failed", "reason=\"%s\"",
                       status_message());
--- a/src/gateway/gateway_traffic.c
+++ b/src/gateway/gateway_traffic.c
@@ -15,16 +15,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_US (50 * MICROSECONDS_PER_MILLISECOND)
-#define SERIES_US (500 * MICROSECONDS_PER_MILLISECOND)
-#define STALL_US (5 * MICROSECONDS_PER_SECOND)
+#define TICK_INTERVAL_US (50 * MICROSECONDS_PER_MILLISECOND)
+#define METRICS_INTERVAL_US (500 * MICROSECONDS_PER_MILLISECOND)
+#define STALL_TIMEOUT_US (5 * MICROSECONDS_PER_SECOND)
 
 /* One request of a caller; lives until its answer is complete and its exchange closed. */
 struct call {
     uint64_t number;
     struct http_exchange *exchange;
-    bool began; /* the response head is out */
-    bool model; /* a stream of lines, ended by an explicit one */
+    bool started;       /* the response head is out */
+    bool is_model_call; /* a stream of lines, ended by an explicit one */
     bool ended;
     bool closed;
     struct call *next;
@@ -37,11 +37,11 @@
     struct router *router;
     struct routing_view *view;
     struct call *calls;
-    uint64_t next_call;
-    struct router_counters published;
+    uint64_t next_call_number;
+    struct router_counters published_counters;
     struct status_page *page;
-    uint64_t next_series;
-    uint32_t active;
+    uint64_t next_metrics_us;
+    uint32_t active_calls;
     pthread_t thread;
 };
 
@@ -65,8 +65,8 @@
 
 /* ---- router driver ---- */
 
-static enum router_send_result forward(void *context, const struct machine *agent,
-                                       Shuntrun__Forward *message)
+static enum router_send_result send_forward_message(void *context, const struct machine *agent,
+                                                    Shuntrun__Forward *message)
 {
     struct gateway_traffic *traffic = context;
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
@@ -76,7 +76,8 @@
                                                                      : ROUTER_NOT_SENT;
 }
 
-static void cancel(void *context, const struct machine *agent, Shuntrun__Cancel *message)
+static void send_cancel_message(void *context, const struct machine *agent,
+                                Shuntrun__Cancel *message)
 {
     struct gateway_traffic *traffic = context;
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
@@ -85,8 +86,8 @@
     links_send(traffic->links, agent, &envelope);
 }
 
-static void stream_text(struct gateway_traffic *traffic, struct call *call, const void *text,
-                        size_t size)
+static void write_response(struct gateway_traffic *traffic, struct call *call, const void *text,
+                           size_t size)
 {
     size_t limit = traffic->settings->caller_buffer_kb * 1024;
     if (call->closed || http_stream_data(call->exchange, text, size, limit))
@@ -96,86 +97,87 @@
     http_stream_abort(call->exchange);
 }
 
-static void begin(void *context, uint64_t number, const struct ready_model *model)
+static void on_started(void *context, uint64_t number, const struct ready_model *model)
 {
     struct gateway_traffic *traffic = context;
     struct call *call = find_call(traffic, number);
     char line[512];
     if (!call || call->closed)
         return;
-    call->began = true;
-    call->model = model->digest[0] != 0;
+    call->started = true;
+    call->is_model_call = model->digest[0] != 0;
     const struct http_reply_header headers[] = {
-        {call->model ? "X-Model-Version" : "X-Outcome", call->model ? model->version : "done"},
+        {call->is_model_call ? "X-Model-Version" : "X-Outcome",
+         call->is_model_call ? model->version : "done"},
         {NULL, NULL}};
-    if (!call->model)
+    if (!call->is_model_call)
         return; /* the head of a plain answer goes out with its end, which knows the outcome */
     http_stream_begin(call->exchange, 200, "application/x-ndjson", headers);
     int size =
         snprintf(line, sizeof line, "{\"model\":\"%s\",\"version\":\"%s\",\"digest\":\"%s\"}\n",
                  model->model, model->version, model->digest);
-    stream_text(traffic, call, line, (size_t)size);
+    write_response(traffic, call, line, (size_t)size);
 }
 
-static void data(void *context, uint64_t number, uint64_t offset, uint32_t count,
-                 const uint8_t *bytes, size_t size)
+static void on_data(void *context, uint64_t number, uint64_t offset, uint32_t count,
+                    const uint8_t *bytes, size_t size)
 {
     struct gateway_traffic *traffic = context;
     struct call *call = find_call(traffic, number);
     if (!call || call->closed)
         return;
-    stream_text(traffic, call, bytes, size);
+    write_response(traffic, call, bytes, size);
     if (call->closed)
         router_abandon(traffic->router, clock_monotonic_us(), number);
 }
 
-static void end_stream(struct gateway_traffic *traffic, struct call *call, uint64_t tokens,
-                       const struct router_result *verdict)
+static void write_end_line(struct gateway_traffic *traffic, struct call *call, uint64_t tokens,
+                           const struct router_result *result)
 {
-    json_t *line = json_pack("{s:s, s:s, s:I, s:b}", "end",
-                             verdict->outcome == OUTCOME_DONE ? "done" : "error", "outcome",
-                             outcome_name(verdict->outcome), "tokens", (json_int_t)tokens,
-                             "replayed", verdict->replayed);
-    if (verdict->outcome != OUTCOME_DONE)
-        json_object_set_new(line, "reason", json_string(verdict->reason));
+    json_t *line =
+        json_pack("{s:s, s:s, s:I, s:b}", "end", result->outcome == OUTCOME_DONE ? "done" : "error",
+                  "outcome", outcome_name(result->outcome), "tokens", (json_int_t)tokens,
+                  "replayed", result->replayed);
+    if (result->outcome != OUTCOME_DONE)
+        json_object_set_new(line, "reason", json_string(result->reason));
     char *text = json_dumps(line, JSON_COMPACT);
     size_t size = strlen(text);
     text[size] = '\n'; /* in place of the closing zero */
-    stream_text(traffic, call, text, size + 1);
+    write_response(traffic, call, text, size + 1);
     free(text);
     json_decref(line);
 }
 
-static void begin_final(struct call *call, const struct router_result *verdict,
-                        const char *content_type)
+static void start_final_response(struct call *call, const struct router_result *result,
+                                 const char *content_type)
 {
     char retry_after[32];
-    struct http_reply_header headers[4] = {{"X-Outcome", outcome_name(verdict->outcome)}};
+    struct http_reply_header headers[4] = {{"X-Outcome", outcome_name(result->outcome)}};
     uint32_t count = 1;
-    if (verdict->retry_after_ms) {
-        snprintf(retry_after, sizeof retry_after, "%u", (verdict->retry_after_ms + 999) / 1000);
+    if (result->retry_after_ms) {
+        snprintf(retry_after, sizeof retry_after, "%u", (result->retry_after_ms + 999) / 1000);
         headers[count++] = (struct http_reply_header){"Retry-After", retry_after};
     }
-    if (verdict->replayed)
+    if (result->replayed)
         headers[count++] = (struct http_reply_header){"X-Replayed", "true"};
     headers[count] = (struct http_reply_header){NULL, NULL};
-    http_stream_begin(call->exchange, verdict->http_status, content_type, headers);
+    http_stream_begin(call->exchange, result->http_status, content_type, headers);
 }
 
-static void end_error(struct gateway_traffic *traffic, struct call *call,
-                      const struct router_result *verdict)
+static void write_error(struct gateway_traffic *traffic, struct call *call,
+                        const struct router_result *result)
 {
-    json_t *body = json_pack("{s:s, s:s, s:i}", "outcome", outcome_name(verdict->outcome), "error",
-                             verdict->reason, "retry_after_ms", verdict->retry_after_ms);
+    json_t *body = json_pack("{s:s, s:s, s:i}", "outcome", outcome_name(result->outcome), "error",
+                             result->reason, "retry_after_ms", result->retry_after_ms);
     char *text = json_dumps(body, JSON_COMPACT);
-    begin_final(call, verdict, "application/json");
-    stream_text(traffic, call, text, strlen(text));
+    start_final_response(call, result, "application/json");
+    write_response(traffic, call, text, strlen(text));
     free(text);
     json_decref(body);
 }
 
-static void end(void *context, uint64_t number, uint64_t tokens,
-                const struct router_result *verdict)
+static void on_end(void *context, uint64_t number, uint64_t tokens,
+                   const struct router_result *result)
 {
     struct gateway_traffic *traffic = context;
     struct call *call = find_call(traffic, number);
@@ -184,61 +186,61 @@
     call->ended = true;
     if (call->closed)
         return;
-    if (call->model)
-        end_stream(traffic, call, tokens, verdict);
-    else if (verdict->outcome == OUTCOME_DONE)
-        begin_final(call, verdict, "application/json");
+    if (call->is_model_call)
+        write_end_line(traffic, call, tokens, result);
+    else if (result->outcome == OUTCOME_DONE)
+        start_final_response(call, result, "application/json");
     else
-        end_error(traffic, call, verdict);
+        write_error(traffic, call, result);
     http_stream_end(call->exchange);
 }
 
 /* ---- posted by other threads ---- */
 
-struct submission {
+struct exchange_event {
     struct gateway_traffic *traffic;
     struct http_exchange *exchange;
     struct router_request request; /* texts and body owned */
 };
 
-static void submit(void *argument)
+static void submit_call(void *argument)
 {
-    struct submission *submission = argument;
-    struct gateway_traffic *traffic = submission->traffic;
+    struct exchange_event *event = argument;
+    struct gateway_traffic *traffic = event->traffic;
     struct call *call = memory_calloc(1, sizeof *call);
-    call->number = traffic->next_call++;
-    call->exchange = submission->exchange;
+    call->number = traffic->next_call_number++;
+    call->exchange = event->exchange;
     call->next = traffic->calls;
     traffic->calls = call;
     http_exchange_set_tag(call->exchange, call->number);
-    router_submit(traffic->router, clock_monotonic_us(), call->number, &submission->request);
-    free((char *)submission->request.service);
-    free((char *)submission->request.tenant);
-    free((char *)submission->request.key);
-    free((void *)submission->request.body);
-    free(submission);
+    router_submit(traffic->router, clock_monotonic_us(), call->number, &event->request);
+    free((char *)event->request.service);
+    free((char *)event->request.tenant);
+    free((char *)event->request.key);
+    free((void *)event->request.body);
+    free(event);
 }
 
 void gateway_traffic_submit(struct gateway_traffic *traffic, struct http_exchange *exchange,
                             const struct router_request *request)
 {
-    struct submission *submission = memory_calloc(1, sizeof *submission);
-    submission->traffic = traffic;
-    submission->exchange = exchange;
-    submission->request = *request;
-    submission->request.service = memory_strdup(request->service);
-    submission->request.tenant = memory_strdup(request->tenant);
-    submission->request.key = memory_strdup(request->key);
-    submission->request.body = memory_duplicate(request->body, request->body_size);
-    loop_post(traffic->loop, submit, submission);
+    struct exchange_event *event = memory_calloc(1, sizeof *event);
+    event->traffic = traffic;
+    event->exchange = exchange;
+    event->request = *request;
+    event->request.service = memory_strdup(request->service);
+    event->request.tenant = memory_strdup(request->tenant);
+    event->request.key = memory_strdup(request->key);
+    event->request.body = memory_duplicate(request->body, request->body_size);
+    loop_post(traffic->loop, submit_call, event);
 }
 
 static void close_call(void *argument)
 {
-    struct submission *submission = argument;
-    struct gateway_traffic *traffic = submission->traffic;
-    struct call *call = find_call(traffic, http_exchange_tag(submission->exchange));
-    free(submission);
+    struct exchange_event *event = argument;
+    struct gateway_traffic *traffic = event->traffic;
+    struct call *call = find_call(traffic, http_exchange_tag(event->exchange));
+    free(event);
     if (!call)
         return;
     call->closed = true;
@@ -247,12 +249,12 @@
     remove_call(traffic, call);
 }
 
-void gateway_traffic_closed(struct gateway_traffic *traffic, struct http_exchange *exchange)
+void gateway_traffic_on_closed(struct gateway_traffic *traffic, struct http_exchange *exchange)
 {
-    struct submission *submission = memory_calloc(1, sizeof *submission);
-    submission->traffic = traffic;
-    submission->exchange = exchange;
-    loop_post(traffic->loop, close_call, submission);
+    struct exchange_event *event = memory_calloc(1, sizeof *event);
+    event->traffic = traffic;
+    event->exchange = exchange;
+    loop_post(traffic->loop, close_call, event);
 }
 
 struct view_change {
@@ -304,14 +306,14 @@
     loop_post(traffic->loop, apply_keys, change);
 }
 
-uint32_t gateway_traffic_active(const struct gateway_traffic *traffic)
+uint32_t gateway_traffic_active_calls(const struct gateway_traffic *traffic)
 {
-    return ck_pr_load_32(&traffic->active);
+    return ck_pr_load_32(&traffic->active_calls);
 }
 
 /* ---- thread ---- */
 
-static void take_answer(void *context, uint64_t peer, const Shuntrun__Envelope *message)
+static void on_envelope(void *context, uint64_t peer, const Shuntrun__Envelope *message)
 {
     struct gateway_traffic *traffic = context;
     if (message->body_case == SHUNTRUN__ENVELOPE__BODY_ANSWER)
@@ -320,18 +322,18 @@
 
 static void publish_counters(struct gateway_traffic *traffic)
 {
-    const struct router_counters *now = router_counters(traffic->router);
-    const struct router_counters *then = &traffic->published;
-    metric_add(METRIC_REQUESTS_DONE, now->done - then->done);
-    metric_add(METRIC_REQUESTS_NOT_RUN, now->not_run - then->not_run);
-    metric_add(METRIC_REQUESTS_UNKNOWN, now->unknown - then->unknown);
-    metric_add(METRIC_REQUESTS_SHED, now->shed - then->shed);
-    metric_add(METRIC_RETRIES, now->retries - then->retries);
-    metric_add(METRIC_RESUMES, now->resumes - then->resumes);
-    metric_add(METRIC_TOKENS, now->tokens - then->tokens);
-    metric_add(METRIC_ANSWERS_DROPPED, now->dropped_answers - then->dropped_answers);
-    metric_add(METRIC_KEYS_REPLAYED, now->replayed - then->replayed);
-    traffic->published = *now;
+    const struct router_counters *current = router_counters(traffic->router);
+    const struct router_counters *previous = &traffic->published_counters;
+    metric_add(METRIC_REQUESTS_DONE, current->done - previous->done);
+    metric_add(METRIC_REQUESTS_NOT_RUN, current->not_run - previous->not_run);
+    metric_add(METRIC_REQUESTS_UNKNOWN, current->unknown - previous->unknown);
+    metric_add(METRIC_REQUESTS_SHED, current->shed - previous->shed);
+    metric_add(METRIC_RETRIES, current->retries - previous->retries);
+    metric_add(METRIC_RESUMES, current->resumes - previous->resumes);
+    metric_add(METRIC_TOKENS, current->tokens - previous->tokens);
+    metric_add(METRIC_ANSWERS_DROPPED, current->dropped_answers - previous->dropped_answers);
+    metric_add(METRIC_KEYS_REPLAYED, current->replayed - previous->replayed);
+    traffic->published_counters = *current;
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, router_active(traffic->router));
 }
 
@@ -341,15 +343,15 @@
     uint64_t now = clock_monotonic_us();
     router_on_tick(traffic->router, now);
     publish_counters(traffic);
-    if (now >= traffic->next_series) {
-        traffic->next_series = now + SERIES_US;
+    if (now >= traffic->next_metrics_us) {
+        traffic->next_metrics_us = now + METRICS_INTERVAL_US;
         status_page_set_extra_metrics(
             traffic->page, service_counts_format(router_service_counts(traffic->router)));
     }
     uint32_t calls = 0;
     for (const struct call *call = traffic->calls; call; call = call->next)
         calls++;
-    ck_pr_store_32(&traffic->active, calls);
+    ck_pr_store_32(&traffic->active_calls, calls);
 }
 
 static void *run_thread(void *context)
@@ -364,21 +366,22 @@
                                               struct status_page *page)
 {
     struct gateway_traffic *traffic = memory_calloc(1, sizeof *traffic);
-    struct router_driver driver = {traffic, forward, cancel, begin, data, end};
+    struct router_driver driver = {
+        traffic, send_forward_message, send_cancel_message, on_started, on_data, on_end};
     struct router_settings router_settings = {
         .request_limit = (uint32_t)settings->tenant_queue_limit,
         .retry_percent = (uint32_t)settings->retry_budget_percent,
-        .stall_us = STALL_US,
+        .stall_us = STALL_TIMEOUT_US,
     };
     traffic->settings = settings;
     traffic->page = page;
-    traffic->next_call = 1;
+    traffic->next_call_number = 1;
     traffic->loop = loop_create();
     traffic->links =
-        links_create(shell->zmq, LINK_TRAFFIC, &shell->keys, traffic->loop, take_answer, traffic);
+        links_create(shell->zmq, LINK_TRAFFIC, &shell->keys, traffic->loop, on_envelope, traffic);
     traffic->router =
         router_create(&router_settings, shell->incarnation, shell->incarnation, &driver);
-    loop_set_tick(traffic->loop, TICK_US, on_tick, traffic);
+    loop_set_tick(traffic->loop, TICK_INTERVAL_US, on_tick, traffic);
     pthread_create(&traffic->thread, NULL, run_thread, traffic);
     return traffic;
 }
--- a/src/gateway/gateway_traffic.h
+++ b/src/gateway/gateway_traffic.h
@@ -29,8 +29,8 @@
 void gateway_traffic_submit(struct gateway_traffic *traffic, struct http_exchange *exchange,
                             const struct router_request *request);
 /** \brief The client of a kept exchange is gone or has its whole answer. */
-void gateway_traffic_closed(struct gateway_traffic *traffic, struct http_exchange *exchange);
+void gateway_traffic_on_closed(struct gateway_traffic *traffic, struct http_exchange *exchange);
 
-uint32_t gateway_traffic_active(const struct gateway_traffic *traffic);
+uint32_t gateway_traffic_active_calls(const struct gateway_traffic *traffic);
 
 #endif
