--- a/src/gateway/caller_api.c
+++ b/src/gateway/caller_api.c
@@ -22,14 +22,15 @@
     struct status_page *page;
     struct gateway_traffic *traffic;
     struct http_server *http;
-    pthread_mutex_t lock;
+    pthread_mutex_t lock; /* guards endpoints, tickets and detached */
     json_t *endpoints;
     json_t *tickets;
     char *tls_certificate; /* PEM; NULL: plain HTTP */
-    char *tls_key;
-    bool detached;
+    char *tls_key;         /* PEM; NULL: plain HTTP */
+    bool detached;         /* no more events for the traffic thread */
 };
 
+/* Rejects a request that was not run; `text` must need no escapes in JSON. */
 static void reply_rejected(struct http_exchange *exchange, unsigned status, const char *text)
 {
     static const struct http_reply_header headers[] = {{"X-Outcome", "not-run"}, {NULL, NULL}};
@@ -82,6 +83,7 @@
 
 /* ---- requests ---- */
 
+/* Parses a decimal number of at most `max`; `fallback` stands for a header that is absent. */
 static bool parse_decimal(const char *text, uint64_t max, uint64_t fallback, uint64_t *value)
 {
     char *rest;
@@ -93,7 +95,7 @@
     return !errno && rest != text && !*rest && *value <= max && !strchr(text, '-');
 }
 
-/* \return NULL when the headers are good, else what is wrong */
+/* \return NULL when the headers are valid, else the error message of the response */
 static const char *parse_headers(struct http_exchange *exchange, const struct settings *settings,
                                  struct router_request *request)
 {
@@ -121,6 +123,7 @@
     return NULL;
 }
 
+/* \return NULL when the body is a JSON object, else the error message of the response */
 static const char *check_body(const struct http_request *request)
 {
     json_error_t error;
@@ -193,6 +196,7 @@
     pthread_mutex_unlock(&api->lock);
 }
 
+/* \return at most MAX_PEM_BYTES of the file, ended by a zero byte; NULL when it cannot be opened */
 static char *load_pem(const char *path)
 {
     FILE *stream = fopen(path, "r");
@@ -213,7 +217,8 @@
     if (!settings->tls_certificate_file && !settings->tls_key_file)
         return STATUS_OK;
     if (!settings->tls_certificate_file || !settings->tls_key_file)
-        return status_fail(STATUS_INVALID, "tls-certificate-file and tls-key-file belong together");
+        return status_fail(STATUS_INVALID,
+                           "tls-certificate-file and tls-key-file must be set together");
     api->tls_certificate = load_pem(settings->tls_certificate_file);
     api->tls_key = load_pem(settings->tls_key_file);
     http->tls_certificate = api->tls_certificate;
--- a/src/gateway/caller_api.h
+++ b/src/gateway/caller_api.h
@@ -1,8 +1,10 @@
 /**
- * The callers' side of a gateway: which address to use, requests, streamed answers.
+ * HTTP API of a gateway for callers: gateway discovery, requests and streamed responses.
  *
- * GET  /v1/endpoints?service=S   addresses of gateways with a max-age, and a ticket for keys
- * POST /v1/services/S            a request; see docs/OPERATIONS.md for headers and answers
+ * GET  /v1/endpoints?service=S   gateway addresses with a max-age, and a ticket for keys
+ * POST /v1/services/S            a request; see docs/OPERATIONS.md for headers and responses
+ *
+ * The HTTP server also serves the status page, see net/status_page.h.
  */
 #ifndef SHUNTRUN_CALLER_API_H
 #define SHUNTRUN_CALLER_API_H
@@ -13,17 +15,23 @@
 
 struct caller_api;
 
-/** \return NULL with a status message when the port cannot be bound */
+/**
+ * \brief Start the HTTP server on `address` and `http-port`.
+ * \param settings must stay valid until caller_api_stop(), as `page` and `traffic` must
+ * \return NULL with a status message when the port cannot be bound or a TLS file cannot be read
+ */
 struct caller_api *caller_api_start(const struct settings *settings, struct status_page *page,
                                     struct gateway_traffic *traffic);
-/** \brief Tell the traffic thread nothing more; before it is stopped. */
+/** \brief Post no more events to the traffic thread and reject new requests with status 503; call
+ * before gateway_traffic_stop(). NULL is ignored. */
 void caller_api_detach(struct caller_api *api);
+/** \brief Stop the HTTP server and free the API. NULL is ignored. */
 void caller_api_stop(struct caller_api *api);
 
 /**
- * \brief Publish the answer to /v1/endpoints; the control thread's.
- * \param endpoints JSON array of "ip:port"; the reference is taken
- * \param tickets JSON object: service name to ticket; the reference is taken
+ * \brief Replace the response to /v1/endpoints; called by the control thread.
+ * \param endpoints JSON array of "ip:port"; ownership of the reference passes to the API
+ * \param tickets JSON object: service name to ticket; ownership passes likewise
  */
 void caller_api_publish(struct caller_api *api, json_t *endpoints, json_t *tickets);
 
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define AGENT_SUBSET_SIZE 32 /* agents known of each model */
-#define MAX_GATEWAY_LINKS 16 /* other gateways known */
+#define AGENT_SUBSET_SIZE 32 /* target machines of each model that are polled */
+#define MAX_GATEWAY_LINKS 16 /* other gateways that are polled */
 #define VIEW_INTERVAL_US (50 * MICROSECONDS_PER_MILLISECOND)
 #define PUBLISH_INTERVAL_US (200 * MICROSECONDS_PER_MILLISECOND)
 
@@ -33,7 +33,8 @@
     bool has_view;
 };
 
-/* Poll the agents of this gateway's subset, and other gateways for the address answer. */
+/* Selects the machines to poll: the agents of this gateway's subset, and other gateways for the
+ * response to /v1/endpoints. */
 static void select_links(struct gateway *gateway)
 {
     const struct fleet *fleet = node_fleet(gateway->shell.node);
@@ -52,6 +53,7 @@
     free(ids);
 }
 
+/* Builds a routing view and passes it to the traffic thread. */
 static void refresh_view(struct gateway *gateway, uint64_t now)
 {
     struct routing_view *view =
@@ -75,14 +77,15 @@
     refresh_view(gateway, clock_monotonic_us());
 }
 
-/* A drained or restarted agent must get no new work: its news are used at once. */
+/* Rebuilds the view on the next tick, since a draining or restarted agent must get no new
+ * requests. */
 static void on_update(void *context, const struct peer *peer, const Shuntrun__NodeUpdate *update)
 {
     struct gateway *gateway = context;
     gateway->next_view_us = 0;
 }
 
-/* ---- what callers are told ---- */
+/* ---- status and responses to callers ---- */
 
 static json_t *list_endpoints(struct gateway *gateway, uint64_t now)
 {
@@ -115,6 +118,7 @@
     return tickets;
 }
 
+/* \return the body of a failed /readyz response, "" when the gateway is ready */
 static const char *not_ready_reason(const struct gateway *gateway)
 {
     if (!gateway->has_view)
@@ -157,7 +161,7 @@
         loop_stop(gateway->shell.loop);
 }
 
-/* ---- life ---- */
+/* ---- start and stop ---- */
 
 static void on_keys_changed(void *context, const struct key_ring *keys)
 {
@@ -194,7 +198,7 @@
     int exit_status =
         daemon_init(SETTING_ROLE_GATEWAY, argc, argv, &gateway->settings, &gateway->keys);
     if (exit_status == 0) {
-        /* Callers may keep an old address answer until its max-age is over. */
+        /* Callers may cache a response to /v1/endpoints for its max-age. */
         daemon_drain_init(&gateway->drain, gateway->settings.drain_timeout_ms,
                           gateway->settings.endpoints_max_age_ms);
         if (open_gateway(gateway) == STATUS_OK) {
--- a/src/gateway/gateway_traffic.c
+++ b/src/gateway/gateway_traffic.c
@@ -19,14 +19,14 @@
 #define METRICS_INTERVAL_US (500 * MICROSECONDS_PER_MILLISECOND)
 #define STALL_TIMEOUT_US (5 * MICROSECONDS_PER_SECOND)
 
-/* One request of a caller; lives until its answer is complete and its exchange closed. */
+/* A request of a caller; freed once its exchange is closed. */
 struct call {
-    uint64_t number;
+    uint64_t number; /* id in the router */
     struct http_exchange *exchange;
-    bool started;       /* the response head is out */
-    bool is_model_call; /* a stream of lines, ended by an explicit one */
-    bool ended;
-    bool closed;
+    bool started;       /* the first answer arrived */
+    bool is_model_call; /* the response is a stream of JSON lines with an end line */
+    bool ended;         /* the router has reported the final result */
+    bool closed;        /* the client has disconnected or the stream was aborted */
     struct call *next;
 };
 
@@ -36,12 +36,12 @@
     struct links *links;
     struct router *router;
     struct routing_view *view;
-    struct call *calls;
+    struct call *calls; /* linked list */
     uint64_t next_call_number;
-    struct router_counters published_counters;
+    struct router_counters published_counters; /* as last added to the metrics */
     struct status_page *page;
     uint64_t next_metrics_us;
-    uint32_t active_calls;
+    uint32_t active_calls; /* atomic; read by other threads */
     pthread_t thread;
 };
 
@@ -63,7 +63,7 @@
     free(call);
 }
 
-/* ---- router driver ---- */
+/* ---- router driver, see core/router.h ---- */
 
 static enum router_send_result send_forward_message(void *context, const struct machine *agent,
                                                     Shuntrun__Forward *message)
@@ -92,7 +92,8 @@
     size_t limit = traffic->settings->caller_buffer_kb * 1024;
     if (call->closed || http_stream_data(call->exchange, text, size, limit))
         return;
-    /* Gone or too slow: the stream breaks, and the engine is told. */
+    /* The client has disconnected or reads too slowly: abort, so that the caller of this function
+     * can cancel the run. */
     call->closed = true;
     http_stream_abort(call->exchange);
 }
@@ -111,7 +112,7 @@
          call->is_model_call ? model->version : "done"},
         {NULL, NULL}};
     if (!call->is_model_call)
-        return; /* the head of a plain answer goes out with its end, which knows the outcome */
+        return; /* the headers of a plain response contain the outcome, which is known at its end */
     http_stream_begin(call->exchange, 200, "application/x-ndjson", headers);
     int size =
         snprintf(line, sizeof line, "{\"model\":\"%s\",\"version\":\"%s\",\"digest\":\"%s\"}\n",
@@ -131,6 +132,7 @@
         router_abandon(traffic->router, clock_monotonic_us(), number);
 }
 
+/* Writes the last line of a model response. */
 static void write_end_line(struct gateway_traffic *traffic, struct call *call, uint64_t tokens,
                            const struct router_result *result)
 {
@@ -142,12 +144,13 @@
         json_object_set_new(line, "reason", json_string(result->reason));
     char *text = json_dumps(line, JSON_COMPACT);
     size_t size = strlen(text);
-    text[size] = '\n'; /* in place of the closing zero */
+    text[size] = '\n'; /* replaces the terminating zero */
     write_response(traffic, call, text, size + 1);
     free(text);
     json_decref(line);
 }
 
+/* Starts a response whose outcome is known. */
 static void start_final_response(struct call *call, const struct router_result *result,
                                  const char *content_type)
 {
@@ -195,12 +198,13 @@
     http_stream_end(call->exchange);
 }
 
-/* ---- posted by other threads ---- */
+/* ---- events posted by other threads ---- */
 
+/* A new request, or the end of an exchange, which has no `request`. */
 struct exchange_event {
     struct gateway_traffic *traffic;
     struct http_exchange *exchange;
-    struct router_request request; /* texts and body owned */
+    struct router_request request; /* strings and body are owned */
 };
 
 static void submit_call(void *argument)
