--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -2,7 +2,7 @@
 
 #include "agent/agent_traffic.h"
 #include "agent/blob_store.h"
-#include "agent/link_pace.h"
+#include "agent/rate_limiter.h"
 #include "agent/rollout.h"
 #include "agent/transfer.h"
 #include "base/clock.h"
@@ -19,13 +19,13 @@
 #include <string.h>
 
 #define MAX_ROLLOUTS NODE_MAX_READY_MODELS
-#define ENGINE_POLL_US (300 * MICROSECONDS_PER_MILLISECOND)
-#define ENGINE_TIMEOUT_MS 2000
+#define ENGINE_POLL_INTERVAL_US (300 * MICROSECONDS_PER_MILLISECOND)
+#define ENGINE_STATUS_TIMEOUT_MS 2000
 #define LOAD_TIMEOUT_MS 600000
-#define LOAD_RETRY_US MICROSECONDS_PER_SECOND
-#define ORDER_VALID_MS 10000
-#define PUBLISH_US (200 * MICROSECONDS_PER_MILLISECOND)
-#define BUSY_RETRY_SECONDS "0.05"
+#define LOAD_RETRY_DELAY_US MICROSECONDS_PER_SECOND
+#define LOAD_ORDER_LIFETIME_MS 10000
+#define PUBLISH_INTERVAL_US (200 * MICROSECONDS_PER_MILLISECOND)
+#define BUSY_RETRY_AFTER_SECONDS "0.05"
 #define HTTP_THREADS 2
 
 struct agent {
@@ -41,26 +41,26 @@
     uint32_t rollout_count;
     struct ready_model ready[NODE_MAX_READY_MODELS]; /* as the engine last confirmed */
     uint32_t ready_count;
-    bool engine_asked;
-    uint64_t next_engine_poll;
-    uint64_t next_publish;
-    uint64_t order_sequence;
+    bool engine_poll_active;
+    uint64_t next_engine_poll_us;
+    uint64_t next_publish_us;
+    uint64_t load_order_sequence;
     struct daemon_drain drain;
-    struct link_pace pace;
+    struct rate_limiter link_limiter;
     uint32_t uploads; /* running now; written by HTTP threads */
 };
 
 /* ---- status ---- */
 
-static void tell_status(struct agent *agent, uint64_t now)
+static void update_node_status(struct agent *agent, uint64_t now)
 {
-    struct agent_traffic_view view = agent_traffic_view(agent->traffic);
+    struct agent_traffic_state state = agent_traffic_state(agent->traffic);
     struct node_status status = {
         .incarnation = agent->shell.incarnation,
-        .pause_epoch = view.pause_epoch,
-        .ticket_epoch = view.ticket_epoch,
+        .pause_epoch = state.pause_epoch,
+        .ticket_epoch = state.ticket_epoch,
         .draining = daemon_is_draining(&agent->drain),
-        .active_requests = view.active,
+        .active_requests = state.active,
         .capacity = (uint32_t)agent->settings.request_capacity,
         .ready_count = agent->ready_count,
     };
@@ -76,7 +76,7 @@
     return NULL;
 }
 
-static const char *why_not_ready(const struct agent *agent)
+static const char *not_ready_reason(const struct agent *agent)
 {
     if (!node_config(agent->shell.node))
         return "no configuration is in force";
@@ -94,7 +94,7 @@
     const struct swarm_counters none = {0};
     const struct swarm_counters *counters = rollout->swarm ? swarm_counters(rollout->swarm) : &none;
     return json_pack("{s:s, s:s, s:s, s:s, s:i, s:i, s:I, s:I, s:I}", "model", rollout->model.name,
-                     "version", rollout->model.version, "digest", rollout->hex, "state",
+                     "version", rollout->model.version, "digest", rollout->manifest_hex, "state",
                      states[rollout->state], "chunks", rollout->manifest.chunk_count, "held",
                      rollout->swarm ? swarm_held_count(rollout->swarm) : 0, "from_peers",
                      (json_int_t)counters->chunks_from_peers, "from_origin",
@@ -102,7 +102,7 @@
                      (json_int_t)counters->chunks_corrupt);
 }
 
-static void publish(struct agent *agent, uint64_t now)
+static void publish_status(struct agent *agent, uint64_t now)
 {
     json_t *rollouts = json_array();
     json_t *ready = json_array();
@@ -116,16 +116,17 @@
     json_object_set_new(status, "rollouts", rollouts);
     json_object_set_new(status, "ready", ready);
     json_object_set_new(status, "active_requests",
-                        json_integer(agent_traffic_view(agent->traffic).active));
+                        json_integer(agent_traffic_state(agent->traffic).active));
     json_object_set_new(status, "weights_bytes",
                         json_integer((json_int_t)blob_store_bytes(agent->store)));
     metric_gauge_set(METRIC_READY_MODELS, agent->ready_count);
-    status_page_publish(agent->page, status, why_not_ready(agent), now);
+    status_page_publish(agent->page, status, not_ready_reason(agent), now);
 }
 
 /* ---- the local engine ---- */
 
-static bool same_ready(const struct agent *agent, const struct ready_model *models, uint32_t count)
+static bool ready_models_equal(const struct agent *agent, const struct ready_model *models,
+                               uint32_t count)
 {
     if (count != agent->ready_count)
         return false;
@@ -135,36 +136,36 @@
     return true;
 }
 
-static void note_confirmed(struct agent *agent)
+static void update_ready_rollouts(struct agent *agent)
 {
     for (uint32_t i = 0; i < agent->rollout_count; i++) {
         struct rollout *rollout = agent->rollouts[i];
         const struct ready_model *ready = find_ready(agent, rollout->model.name);
-        bool confirmed = ready && strcmp(ready->digest, rollout->hex) == 0;
+        bool confirmed = ready && strcmp(ready->digest, rollout->manifest_hex) == 0;
         if (confirmed && rollout->state != ROLLOUT_READY) {
             rollout->state = ROLLOUT_READY;
-            rollout->ready_since = clock_monotonic_us();
+            rollout->ready_since_us = clock_monotonic_us();
             metric_add(METRIC_ENGINE_LOADS, 1);
             log_event(LOG_LEVEL_INFO, "rollout", "ready", "model=%s version=%s seconds=%.3f",
                       rollout->model.name, rollout->model.version,
-                      (double)(clock_monotonic_us() - rollout->started) / 1e6);
+                      (double)(clock_monotonic_us() - rollout->started_us) / 1e6);
         } else if (!confirmed && rollout->state == ROLLOUT_READY) {
-            rollout_start_again(rollout);
+            rollout_restart(rollout);
             log_event(LOG_LEVEL_WARN, "rollout", "engine_lost_model", "model=%s",
                       rollout->model.name);
         }
     }
 }
 
-static void set_ready(struct agent *agent, const struct ready_model *models, uint32_t count)
+static void set_ready_models(struct agent *agent, const struct ready_model *models, uint32_t count)
 {
-    if (!same_ready(agent, models, count)) {
+    if (!ready_models_equal(agent, models, count)) {
         memcpy(agent->ready, models, count * sizeof *models);
         agent->ready_count = count;
         agent_traffic_set_ready(agent->traffic, models, count);
-        tell_status(agent, clock_monotonic_us());
+        update_node_status(agent, clock_monotonic_us());
     }
-    note_confirmed(agent);
+    update_ready_rollouts(agent);
 }
 
 /* {"models": [{"model", "version", "digest"}]}; an engine that does not answer serves nothing. */
@@ -174,7 +175,7 @@
     struct ready_model models[NODE_MAX_READY_MODELS] = {{{0}, {0}, {0}}};
     uint32_t count = 0;
     json_t *root = NULL;
-    agent->engine_asked = false;
+    agent->engine_poll_active = false;
     if (response->result == HTTP_COMPLETE && response->status == 200)
         root = json_loadb((const char *)response->body, response->size, 0, NULL);
     const json_t *list = json_object_get(root, "models");
@@ -191,22 +192,23 @@
         snprintf(ready->digest, sizeof ready->digest, "%s", digest);
     }
     json_decref(root);
-    set_ready(agent, models, count);
+    set_ready_models(agent, models, count);
 }
 
-static void ask_engine(struct agent *agent, uint64_t now)
+static void poll_engine(struct agent *agent, uint64_t now)
 {
     char url[512];
-    if (!agent->settings.engine_url || agent->engine_asked || now < agent->next_engine_poll)
+    if (!agent->settings.engine_url || agent->engine_poll_active ||
+        now < agent->next_engine_poll_us)
         return;
-    agent->engine_asked = true;
-    agent->next_engine_poll = now + ENGINE_POLL_US;
+    agent->engine_poll_active = true;
+    agent->next_engine_poll_us = now + ENGINE_POLL_INTERVAL_US;
     snprintf(url, sizeof url, "%s/v1/status", agent->settings.engine_url);
     struct http_call call = {
         .method = "GET",
         .url = url,
         .body_limit = 65536,
-        .timeout_ms = ENGINE_TIMEOUT_MS,
+        .timeout_ms = ENGINE_STATUS_TIMEOUT_MS,
         .on_done = on_engine_status,
         .context = agent,
     };
@@ -226,46 +228,46 @@
     return NULL;
 }
 
-static void on_loaded(void *context, struct http_response *response)
+static void on_load_response(void *context, struct http_response *response)
 {
     struct load_order *order = context;
     struct agent *agent = order->agent;
     struct rollout *rollout = find_rollout(agent, order->rollout);
-    bool good = response->result == HTTP_COMPLETE && response->status == 200;
+    bool accepted = response->result == HTTP_COMPLETE && response->status == 200;
     free(order);
     if (rollout) {
-        rollout->asking = false;
+        rollout->request_active = false;
         rollout->state = ROLLOUT_CHUNKS;
-        rollout->next_try = clock_monotonic_us() + LOAD_RETRY_US;
+        rollout->next_attempt_us = clock_monotonic_us() + LOAD_RETRY_DELAY_US;
     }
-    if (!good)
+    if (!accepted)
         log_event(LOG_LEVEL_WARN, "engine", "load_refused", "status=%ld body=\"%.*s\"",
                   response->status, (int)response->size, response->body);
-    agent->next_engine_poll = 0; /* only the engine's status confirms */
+    agent->next_engine_poll_us = 0; /* only the engine's status confirms */
 }
 
-static char *load_order_text(struct agent *agent, const struct rollout *rollout)
+static char *format_load_order(struct agent *agent, const struct rollout *rollout)
 {
     char source[128];
     snprintf(source, sizeof source, "http://%s:%" PRIu64, agent->settings.address,
              agent->settings.http_port);
     json_t *order = json_pack(
         "{s:s, s:s, s:s, s:s, s:I, s:{s:I, s:I, s:I}}", "model", rollout->model.name, "version",
-        rollout->model.version, "digest", rollout->hex, "source", source, "expires_ms",
-        (json_int_t)ORDER_VALID_MS, "fence", "revision",
+        rollout->model.version, "digest", rollout->manifest_hex, "source", source, "expires_ms",
+        (json_int_t)LOAD_ORDER_LIFETIME_MS, "fence", "revision",
         (json_int_t)node_config(agent->shell.node)->revision, "incarnation",
-        (json_int_t)agent->shell.incarnation, "sequence", (json_int_t)++agent->order_sequence);
+        (json_int_t)agent->shell.incarnation, "sequence", (json_int_t)++agent->load_order_sequence);
     char *text = json_dumps(order, JSON_COMPACT);
     json_decref(order);
     return text;
 }
 
-static void order_load(struct agent *agent, struct rollout *rollout)
+static void send_load_order(struct agent *agent, struct rollout *rollout)
 {
     static const char *const headers[] = {"Content-Type: application/json", NULL};
     struct load_order *order = memory_calloc(1, sizeof *order);
     char url[512];
-    char *text = load_order_text(agent, rollout);
+    char *text = format_load_order(agent, rollout);
     *order = (struct load_order){agent, rollout->number};
     snprintf(url, sizeof url, "%s/v1/load", agent->settings.engine_url);
     struct http_call call = {
@@ -277,11 +279,11 @@
         .body_limit = 65536,
         .timeout_ms = LOAD_TIMEOUT_MS,
         .fresh_connection = true,
-        .on_done = on_loaded,
+        .on_done = on_load_response,
         .on_abandoned = free,
         .context = order,
     };
-    rollout->asking = true;
+    rollout->request_active = true;
     rollout->state = ROLLOUT_LOADING;
     loop_http(agent->shell.loop, &call);
     free(text);
@@ -292,18 +294,19 @@
 {
     bool complete =
         rollout->state == ROLLOUT_CHUNKS && rollout->swarm && swarm_complete(rollout->swarm);
-    if (complete && agent->settings.engine_url && !rollout->asking && now >= rollout->next_try)
-        order_load(agent, rollout);
+    if (complete && agent->settings.engine_url && !rollout->request_active &&
+        now >= rollout->next_attempt_us)
+        send_load_order(agent, rollout);
 }
 
 /* ---- rollouts ---- */
 
-static bool blob_wanted(void *context, const struct digest *digest)
+static bool is_blob_needed(void *context, const struct digest *digest)
 {
     struct agent *agent = context;
     for (uint32_t i = 0; i < agent->rollout_count; i++)
         if (agent->rollouts[i]->manifest.chunk_count == 0 ||
-            rollout_wants(agent->rollouts[i], digest))
+            rollout_needs_blob(agent->rollouts[i], digest))
             return true; /* before its manifest is known, a rollout may share any chunk */
     return false;
 }
@@ -314,7 +317,7 @@
     agent->rollouts[index] = agent->rollouts[--agent->rollout_count];
 }
 
-static void drop_outdated(struct agent *agent, const struct fleet_config *config)
+static void remove_outdated_rollouts(struct agent *agent, const struct fleet_config *config)
 {
     for (uint32_t i = 0; i < agent->rollout_count;) {
         const struct model_config *model =
@@ -327,7 +330,7 @@
     }
 }
 
-static struct rollout *rollout_of_model(struct agent *agent, const char *model)
+static struct rollout *find_model_rollout(struct agent *agent, const char *model)
 {
     for (uint32_t i = 0; i < agent->rollout_count; i++)
         if (strcmp(agent->rollouts[i]->model.name, model) == 0)
@@ -335,13 +338,13 @@
     return NULL;
 }
 
-static void follow_placement(struct agent *agent, uint64_t now)
+static void apply_placement(struct agent *agent, uint64_t now)
 {
     const struct fleet_config *config = node_config(agent->shell.node);
     const struct placement *placement = node_placement(agent->shell.node);
     int64_t self = fleet_find(node_fleet(agent->shell.node), node_id(agent->shell.node));
     for (uint32_t i = 0; self >= 0 && i < placement->model_count; i++) {
-        struct rollout *rollout = rollout_of_model(agent, config->models[i].name);
+        struct rollout *rollout = find_model_rollout(agent, config->models[i].name);
         bool placed = placement_has(&placement->models[i], (uint32_t)self);
         if (placed && !rollout && agent->rollout_count < MAX_ROLLOUTS) {
             rollout =
@@ -365,9 +368,9 @@
     daemon_publish_machines(&agent->shell, agent->page);
     if (!config || !node_placement(agent->shell.node))
         return;
-    drop_outdated(agent, config);
-    follow_placement(agent, now);
-    blob_store_prune(agent->store, blob_wanted, agent);
+    remove_outdated_rollouts(agent, config);
+    apply_placement(agent, now);
+    blob_store_prune(agent->store, is_blob_needed, agent);
     agent_traffic_set_config(agent->traffic, config);
 }
 
@@ -378,7 +381,7 @@
         rollout_on_update(agent->rollouts[i], clock_monotonic_us(), peer->id, update);
 }
 
-static void on_transfer(void *argument)
+static void on_transfer_result(void *argument)
 {
     struct transfer_result *result = argument;
     struct agent *agent = result->context;
@@ -388,7 +391,7 @@
     free(result);
 }
 
-static void publish_pending(struct agent *agent)
+static void publish_pending_blobs(struct agent *agent)
 {
     struct digest *digests = NULL;
     uint32_t count = 0;
@@ -408,18 +411,18 @@
             swarm_set_upload_queue(rollout->swarm, uploads);
         rollout_tick(rollout, now);
         load_when_complete(agent, rollout, now);
-        if (rollout_release_when_kept(rollout, now))
-            blob_store_prune(agent->store, blob_wanted, agent);
+        if (rollout_release_expired(rollout, now))
+            blob_store_prune(agent->store, is_blob_needed, agent);
     }
-    ask_engine(agent, now);
-    tell_status(agent, now);
+    poll_engine(agent, now);
+    update_node_status(agent, now);
     agent_traffic_set_draining(agent->traffic, daemon_is_draining(&agent->drain));
-    if (now >= agent->next_publish) {
-        agent->next_publish = now + PUBLISH_US;
-        publish(agent, now);
-        publish_pending(agent);
+    if (now >= agent->next_publish_us) {
+        agent->next_publish_us = now + PUBLISH_INTERVAL_US;
+        publish_status(agent, now);
+        publish_pending_blobs(agent);
     }
-    if (daemon_drain_done(&agent->drain, agent_traffic_view(agent->traffic).active, now))
+    if (daemon_drain_done(&agent->drain, agent_traffic_state(agent->traffic).active, now))
         loop_stop(agent->shell.loop);
 }
 
@@ -438,12 +441,12 @@
     free(upload);
 }
 
-static ssize_t read_upload(void *context, uint64_t position, char *buffer, size_t most)
+static ssize_t read_upload(void *context, uint64_t position, char *buffer, size_t max_size)
 {
     struct upload *upload = context;
     size_t left = upload->blob->size - position;
-    size_t size = left < most ? left : most;
-    link_pace_use(&upload->agent->pace, size);
+    size_t size = left < max_size ? left : max_size;
+    rate_limiter_acquire(&upload->agent->link_limiter, size);
     memcpy(buffer, upload->blob->data + position, size);
     return (ssize_t)size;
 }
@@ -456,8 +459,8 @@
     http_reply(exchange, status, "application/json", body, (size_t)size, headers);
 }
 
-static void reply_absent(struct agent *agent, struct http_exchange *exchange,
-                         const struct digest *digest)
+static void reply_not_found(struct agent *agent, struct http_exchange *exchange,
+                            const struct digest *digest)
 {
     bool pending = blob_store_is_pending(agent->store, digest);
     const struct http_reply_header headers[] = {{"X-Note", "pending"}, {NULL, NULL}};
@@ -466,44 +469,44 @@
 
 static void reply_blob(struct agent *agent, struct http_exchange *exchange, const char *hex)
 {
-    static const struct http_reply_header retry[] = {{"Retry-After", BUSY_RETRY_SECONDS},
-                                                     {NULL, NULL}};
+    static const struct http_reply_header retry_after[] = {
+        {"Retry-After", BUSY_RETRY_AFTER_SECONDS}, {NULL, NULL}};
     struct digest digest;
     if (digest_from_hex(hex, &digest) != STATUS_OK) {
         reply_error(exchange, 400, status_message(), NULL);
         return;
     }
     /* The local engine loads without counting against uploads to peers. */
-    bool local = http_header(exchange, "X-Local-Engine") != NULL;
+    bool is_local_engine = http_header(exchange, "X-Local-Engine") != NULL;
     uint64_t limit = agent->settings.upload_limit;
-    if (!local && ck_pr_load_32(&agent->uploads) >= limit) {
-        reply_error(exchange, 503, "busy", retry);
+    if (!is_local_engine && ck_pr_load_32(&agent->uploads) >= limit) {
+        reply_error(exchange, 503, "busy", retry_after);
         return;
     }
     struct blob *blob = blob_store_get(agent->store, &digest);
     if (!blob) {
-        reply_absent(agent, exchange, &digest);
+        reply_not_found(agent, exchange, &digest);
         return;
     }
     struct upload *upload = memory_calloc(1, sizeof *upload);
     *upload = (struct upload){agent, blob};
     ck_pr_inc_32(&agent->uploads);
     metric_add(METRIC_CHUNKS_SERVED, 1);
-    if (agent->settings.link_bytes_per_second && !local)
+    if (agent->settings.link_bytes_per_second && !is_local_engine)
         http_reply_paced(exchange, 200, blob->size, read_upload, end_upload, upload);
     else
         http_reply_shared(exchange, 200, blob->data, blob->size, end_upload, upload);
 }
 
-static void on_http(void *context, struct http_exchange *exchange,
-                    const struct http_request *request)
+static void on_http_request(void *context, struct http_exchange *exchange,
+                            const struct http_request *request)
 {
     static const char blobs[] = "/v1/blobs/";
     struct agent *agent = context;
     if (status_page_handle(agent->page, exchange, request))
         return;
-    bool get = strcmp(request->method, "GET") == 0;
-    if (get && strncmp(request->path, blobs, sizeof blobs - 1) == 0) {
+    bool is_get = strcmp(request->method, "GET") == 0;
+    if (is_get && strncmp(request->path, blobs, sizeof blobs - 1) == 0) {
         reply_blob(agent, exchange, request->path + sizeof blobs - 1);
         return;
     }
@@ -520,7 +523,7 @@
         .connection_limit = (unsigned)agent->settings.connection_limit,
         .body_limit = 4096,
         .header_limit = agent->settings.header_limit_kb * 1024,
-        .handler = on_http,
+        .handler = on_http_request,
         .context = agent,
     };
     return http_server_start(&settings);
@@ -539,7 +542,7 @@
     struct node_shell_callbacks callbacks = {agent, on_view_changed, on_update, on_tick,
                                              on_keys_changed};
     agent->page = status_page_create();
-    link_pace_init(&agent->pace, agent->settings.link_bytes_per_second);
+    rate_limiter_init(&agent->link_limiter, agent->settings.link_bytes_per_second);
     agent->store = blob_store_create(agent->settings.weights_memory_mb << 20);
     if (node_shell_open(&agent->shell, &agent->settings, &agent->keys, MACHINE_AGENT, &callbacks) !=
         STATUS_OK)
@@ -547,8 +550,8 @@
     agent->traffic = agent_traffic_start(&agent->settings, &agent->shell);
     if (!agent->traffic)
         return STATUS_IO;
-    agent->transfer = transfer_start(agent->settings.name, agent->store, &agent->pace,
-                                     agent->shell.loop, on_transfer, agent);
+    agent->transfer = transfer_start(agent->settings.name, agent->store, &agent->link_limiter,
+                                     agent->shell.loop, on_transfer_result, agent);
     agent->http = start_http(agent);
     return agent->http ? STATUS_OK : STATUS_IO;
 }
@@ -577,7 +580,7 @@
                       agent->settings.address, agent->shell.incarnation);
             loop_run(agent->shell.loop);
             log_event(LOG_LEVEL_INFO, "agent", "stopped", "active=%u",
-                      agent_traffic_view(agent->traffic).active);
+                      agent_traffic_state(agent->traffic).active);
         } else {
             log_event(LOG_LEVEL_ERROR, "agent", "start_failed", "reason=\"%s\"", status_message());
             exit_status = 1;
--- a/src/agent/agent_traffic.c
+++ b/src/agent/agent_traffic.c
@@ -15,21 +15,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_US (50 * MICROSECONDS_PER_MILLISECOND)
-#define PAUSE_US MICROSECONDS_PER_SECOND
-#define SEND_WITHIN_US MICROSECONDS_PER_SECOND /* a later start is a start after a pause */
+#define TICK_INTERVAL_US (50 * MICROSECONDS_PER_MILLISECOND)
+#define PAUSE_THRESHOLD_US MICROSECONDS_PER_SECOND
+#define SEND_TIMEOUT_US MICROSECONDS_PER_SECOND /* a later start is a start after a pause */
 #define MAX_ROUTES 1024
-#define MAX_LINE (1u << 20)
-#define MAX_PLAIN_ANSWER (4u << 20)
+#define MAX_LINE_BYTES (1u << 20)
+#define MAX_SERVICE_RESPONSE_BYTES (4u << 20)
 
 /* One run at the engine or service. */
 struct engine_run {
     struct agent_traffic *traffic;
-    uint64_t run;
-    uint64_t call;
-    bool plain;
-    bool began; /* response bytes came */
-    bool ended; /* the engine's last line came */
+    uint64_t id;
+    uint64_t http_request;
+    bool is_service_call;
+    bool started;      /* response bytes came */
+    bool end_received; /* the engine's last line came */
     uint64_t tokens;
     uint8_t *line; /* bytes of an unfinished line */
     size_t line_size;
@@ -45,7 +45,7 @@
     struct link_route routes[MAX_ROUTES];
     uint32_t route_count;
     uint64_t incarnation;
-    struct agent_traffic_view view;
+    struct agent_traffic_state state;
     pthread_t thread;
 };
 
@@ -77,7 +77,7 @@
 
 /* ---- runs ---- */
 
-static void unlink_run(struct agent_traffic *traffic, struct engine_run *run)
+static void free_engine_run(struct agent_traffic *traffic, struct engine_run *run)
 {
     struct engine_run **link = &traffic->runs;
     while (*link != run)
@@ -88,7 +88,7 @@
 }
 
 /* A token line is {"i": N, "t": "..."}; the last one {"end": "done", "tokens": N}. */
-static void take_line(struct engine_run *run, const char *line, size_t size)
+static void on_engine_line(struct engine_run *run, const char *line, size_t size)
 {
     json_error_t error;
     json_t *root = json_loadb(line, size, 0, &error);
@@ -97,10 +97,11 @@
     if (json_is_integer(index)) {
         uint64_t offset = (uint64_t)json_integer_value(index);
         run->tokens = offset + 1;
-        executor_on_tokens(run->traffic->executor, clock_monotonic_us(), run->run, offset, 1,
+        executor_on_tokens(run->traffic->executor, clock_monotonic_us(), run->id, offset, 1,
                            (const uint8_t *)line, size);
     } else if (end && strcmp(end, "done") == 0) {
-        run->ended = json_integer_value(json_object_get(root, "tokens")) == (json_int_t)run->tokens;
+        run->end_received =
+            json_integer_value(json_object_get(root, "tokens")) == (json_int_t)run->tokens;
     }
     json_decref(root);
 }
@@ -108,8 +109,8 @@
 static void on_engine_data(void *context, const uint8_t *data, size_t size)
 {
     struct engine_run *run = context;
-    run->began = true;
-    if (run->line_size + size > MAX_LINE)
+    run->started = true;
+    if (run->line_size + size > MAX_LINE_BYTES)
         return; /* no engine writes such a line; the run ends as broken */
     run->line = memory_realloc(run->line, run->line_size + size);
     memcpy(run->line + run->line_size, data, size);
@@ -118,7 +119,7 @@
     for (size_t i = 0; i < run->line_size; i++) {
         if (run->line[i] != '\n')
             continue;
-        take_line(run, (const char *)run->line + start, i + 1 - start);
+        on_engine_line(run, (const char *)run->line + start, i + 1 - start);
         start = i + 1;
     }
     run->line_size -= start;
@@ -126,7 +127,7 @@
 }
 
 /* The engine or service says so itself when it did not begin. */
-static bool certainly_not_started(struct http_response *response)
+static bool known_not_started(struct http_response *response)
 {
     if (response->result == HTTP_NOT_SENT)
         return true;
@@ -138,16 +139,16 @@
     struct engine_run *run = context;
     struct agent_traffic *traffic = run->traffic;
     uint64_t now = clock_monotonic_us();
-    bool good = response->result == HTTP_COMPLETE && response->status == 200;
-    if (good && run->plain)
-        executor_on_done(traffic->executor, now, run->run, 0, response->body, response->size);
-    else if (good && run->ended)
-        executor_on_done(traffic->executor, now, run->run, run->tokens, NULL, 0);
+    bool succeeded = response->result == HTTP_COMPLETE && response->status == 200;
+    if (succeeded && run->is_service_call)
+        executor_on_done(traffic->executor, now, run->id, 0, response->body, response->size);
+    else if (succeeded && run->end_received)
+        executor_on_done(traffic->executor, now, run->id, run->tokens, NULL, 0);
     else
         executor_on_failed(
-            traffic->executor, now, run->run, run->began || !certainly_not_started(response),
+            traffic->executor, now, run->id, run->started || !known_not_started(response),
             response->result == HTTP_COMPLETE ? "the back end refused or failed" : response->error);
-    unlink_run(traffic, run);
+    free_engine_run(traffic, run);
 }
 
 #define HEADER_SIZE 1200
@@ -198,8 +199,8 @@
     struct header_list *headers = memory_calloc(1, sizeof *headers);
     char url[512];
     run->traffic = traffic;
-    run->run = id;
-    run->plain = !model;
+    run->id = id;
+    run->is_service_call = !model;
     run->tokens = forward->resume_offset;
     run->next = traffic->runs;
     traffic->runs = run;
@@ -213,17 +214,17 @@
         .headers = headers->pointers,
         .body = forward->body.data,
         .body_size = forward->body.len,
-        .body_limit = MAX_PLAIN_ANSWER,
+        .body_limit = MAX_SERVICE_RESPONSE_BYTES,
         .timeout_ms = forward->remaining_us / 1000 + 1,
         .fresh_connection = forward->unrepeatable,
         .send_before_us =
             clock_monotonic_us() +
-            (forward->remaining_us < SEND_WITHIN_US ? forward->remaining_us : SEND_WITHIN_US),
+            (forward->remaining_us < SEND_TIMEOUT_US ? forward->remaining_us : SEND_TIMEOUT_US),
         .on_data = model ? on_engine_data : NULL,
         .on_done = on_engine_done,
         .context = run,
     };
-    run->call = loop_http(traffic->loop, &call);
+    run->http_request = loop_http(traffic->loop, &call);
     free(headers);
 }
 
@@ -231,17 +232,17 @@
 {
     struct agent_traffic *traffic = context;
     for (struct engine_run *run = traffic->runs; run; run = run->next) {
-        if (run->run != id)
+        if (run->id != id)
             continue;
-        loop_http_cancel(traffic->loop, run->call);
-        unlink_run(traffic, run);
+        loop_http_cancel(traffic->loop, run->http_request);
+        free_engine_run(traffic, run);
         return;
     }
 }
 
 /* ---- events ---- */
 
-static void on_request(void *context)
+static void on_socket_readable(void *context)
 {
     struct agent_traffic *traffic = context;
     struct link_route route;
@@ -257,12 +258,12 @@
     }
 }
 
-static void publish_view(struct agent_traffic *traffic, uint64_t now)
+static void publish_state(struct agent_traffic *traffic, uint64_t now)
 {
     uint32_t active = executor_active(traffic->executor);
-    ck_pr_store_32(&traffic->view.active, active);
-    ck_pr_store_64(&traffic->view.pause_epoch, executor_pause_epoch(traffic->executor));
-    ck_pr_store_64(&traffic->view.ticket_epoch, executor_ticket_epoch(traffic->executor, now));
+    ck_pr_store_32(&traffic->state.active, active);
+    ck_pr_store_64(&traffic->state.pause_epoch, executor_pause_epoch(traffic->executor));
+    ck_pr_store_64(&traffic->state.ticket_epoch, executor_ticket_epoch(traffic->executor, now));
     metric_gauge_set(METRIC_ACTIVE_REQUESTS, active);
 }
 
@@ -271,7 +272,7 @@
     struct agent_traffic *traffic = context;
     uint64_t now = clock_monotonic_us();
     executor_on_tick(traffic->executor, now);
-    publish_view(traffic, now);
+    publish_state(traffic, now);
 }
 
 static void *run_thread(void *context)
@@ -290,7 +291,7 @@
         .capacity = (uint32_t)settings->request_capacity,
         .key_window_us = settings->key_window_ms * MICROSECONDS_PER_MILLISECOND,
         .key_limit = (uint32_t)settings->key_limit,
-        .pause_us = PAUSE_US,
+        .pause_us = PAUSE_THRESHOLD_US,
     };
     traffic->settings = settings;
     traffic->incarnation = shell->incarnation;
@@ -301,14 +302,14 @@
         executor_set_service(traffic->executor, settings->service_name);
     traffic->listener = link_listener_open(shell->zmq, LINK_TRAFFIC, settings->address,
                                            (uint16_t)settings->traffic_port, &shell->keys,
-                                           traffic->loop, on_request, traffic);
+                                           traffic->loop, on_socket_readable, traffic);
     if (!traffic->listener) {
         executor_destroy(traffic->executor);
         loop_destroy(traffic->loop);
         free(traffic);
         return NULL;
     }
-    loop_set_tick(traffic->loop, TICK_US, on_tick, traffic);
+    loop_set_tick(traffic->loop, TICK_INTERVAL_US, on_tick, traffic);
     pthread_create(&traffic->thread, NULL, run_thread, traffic);
     return traffic;
 }
@@ -324,13 +325,13 @@
     link_listener_close(traffic->listener);
     loop_destroy(traffic->loop);
     while (traffic->runs)
-        unlink_run(traffic, traffic->runs);
+        free_engine_run(traffic, traffic->runs);
     free(traffic);
 }
 
 /* ---- what the control thread posts ---- */
 
-struct change {
+struct posted_change {
     struct agent_traffic *traffic;
     struct fleet_config config; /* services and tenants only; owned */
     struct ready_model ready[NODE_MAX_READY_MODELS];
@@ -340,7 +341,7 @@
 
 static void apply_config(void *argument)
 {
-    struct change *change = argument;
+    struct posted_change *change = argument;
     executor_set_config(change->traffic->executor, clock_monotonic_us(), &change->config);
     fleet_config_clear(&change->config);
     free(change);
@@ -348,7 +349,7 @@
 
 void agent_traffic_set_config(struct agent_traffic *traffic, const struct fleet_config *config)
 {
-    struct change *change = memory_calloc(1, sizeof *change);
+    struct posted_change *change = memory_calloc(1, sizeof *change);
     struct fleet_config *copy = &change->config;
     change->traffic = traffic;
     copy->revision = config->revision;
@@ -366,7 +367,7 @@
 
 static void apply_ready(void *argument)
 {
-    struct change *change = argument;
+    struct posted_change *change = argument;
     executor_set_ready(change->traffic->executor, change->ready, change->ready_count);
     free(change);
 }
@@ -374,7 +375,7 @@
 void agent_traffic_set_ready(struct agent_traffic *traffic, const struct ready_model *models,
                              uint32_t count)
 {
-    struct change *change = memory_calloc(1, sizeof *change);
+    struct posted_change *change = memory_calloc(1, sizeof *change);
     change->traffic = traffic;
     memcpy(change->ready, models, count * sizeof *models);
     change->ready_count = count;
@@ -402,24 +403,24 @@
 
 static void apply_draining(void *argument)
 {
-    struct change *change = argument;
+    struct posted_change *change = argument;
     executor_set_draining(change->traffic->executor, change->draining);
     free(change);
 }
 
 void agent_traffic_set_draining(struct agent_traffic *traffic, bool draining)
 {
-    struct change *change = memory_calloc(1, sizeof *change);
+    struct posted_change *change = memory_calloc(1, sizeof *change);
     change->traffic = traffic;
     change->draining = draining;
     loop_post(traffic->loop, apply_draining, change);
 }
 
-struct agent_traffic_view agent_traffic_view(const struct agent_traffic *traffic)
+struct agent_traffic_state agent_traffic_state(const struct agent_traffic *traffic)
 {
-    return (struct agent_traffic_view){
-        .active = ck_pr_load_32(&traffic->view.active),
-        .pause_epoch = ck_pr_load_64(&traffic->view.pause_epoch),
-        .ticket_epoch = ck_pr_load_64(&traffic->view.ticket_epoch),
+    return (struct agent_traffic_state){
+        .active = ck_pr_load_32(&traffic->state.active),
+        .pause_epoch = ck_pr_load_64(&traffic->state.pause_epoch),
+        .ticket_epoch = ck_pr_load_64(&traffic->state.ticket_epoch),
     };
 }
--- a/src/agent/agent_traffic.h
+++ b/src/agent/agent_traffic.h
@@ -12,7 +12,7 @@
 struct agent_traffic;
 
 /** What the control thread sees of the traffic thread; read at any time. */
-struct agent_traffic_view {
+struct agent_traffic_state {
     uint32_t active;
     uint64_t pause_epoch;
     uint64_t ticket_epoch;
@@ -30,6 +30,6 @@
 void agent_traffic_set_ready(struct agent_traffic *traffic, const struct ready_model *models,
                              uint32_t count);
 void agent_traffic_set_draining(struct agent_traffic *traffic, bool draining);
-struct agent_traffic_view agent_traffic_view(const struct agent_traffic *traffic);
+struct agent_traffic_state agent_traffic_state(const struct agent_traffic *traffic);
 
 #endif
--- a/src/agent/blob_store.c
+++ b/src/agent/blob_store.c
@@ -7,11 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUCKETS 4096
+#define BUCKET_COUNT 4096
 
 struct blob_store {
     pthread_mutex_t lock;
-    struct blob *buckets[BUCKETS];
+    struct blob *buckets[BUCKET_COUNT];
     uint64_t bytes;
     uint64_t limit;
     struct digest *pending;
@@ -26,7 +26,7 @@
     return store;
 }
 
-static bool never_wanted(void *context, const struct digest *digest)
+static bool is_no_blob_needed(void *context, const struct digest *digest)
 {
     return false;
 }
@@ -35,7 +35,7 @@
 {
     if (!store)
         return;
-    blob_store_prune(store, never_wanted, NULL);
+    blob_store_prune(store, is_no_blob_needed, NULL);
     pthread_mutex_destroy(&store->lock);
     free(store->pending);
     free(store);
@@ -45,14 +45,14 @@
 {
     uint16_t key;
     memcpy(&key, digest->bytes, sizeof key);
-    struct blob **link = &store->buckets[key % BUCKETS];
+    struct blob **link = &store->buckets[key % BUCKET_COUNT];
     while (*link && !digest_equal(&(*link)->digest, digest))
         link = &(*link)->next;
     return link;
 }
 
 /* Lock held. The store's own reference or a reader's is given up. */
-static void drop(struct blob_store *store, struct blob *blob)
+static void release_locked(struct blob_store *store, struct blob *blob)
 {
     if (--blob->references)
         return;
@@ -62,8 +62,8 @@
     free(blob);
 }
 
-static enum status insert(struct blob_store *store, const struct digest *digest, uint8_t *data,
-                          size_t size)
+static enum status insert_locked(struct blob_store *store, const struct digest *digest,
+                                 uint8_t *data, size_t size)
 {
     struct blob **link = find_link(store, digest);
     if (*link) {
@@ -95,7 +95,7 @@
         return status_fail(STATUS_CORRUPT, "bytes do not match their digest");
     }
     pthread_mutex_lock(&store->lock);
-    enum status status = insert(store, expected, data, size);
+    enum status status = insert_locked(store, expected, data, size);
     pthread_mutex_unlock(&store->lock);
     return status;
 }
@@ -115,7 +115,7 @@
     struct blob *blob = context;
     struct blob_store *store = blob->store;
     pthread_mutex_lock(&store->lock);
-    drop(store, blob);
+    release_locked(store, blob);
     pthread_mutex_unlock(&store->lock);
 }
 
@@ -128,19 +128,19 @@
 }
 
 void blob_store_prune(struct blob_store *store,
-                      bool (*wanted)(void *context, const struct digest *digest), void *context)
+                      bool (*is_needed)(void *context, const struct digest *digest), void *context)
 {
     pthread_mutex_lock(&store->lock);
-    for (size_t i = 0; i < BUCKETS; i++) {
+    for (size_t i = 0; i < BUCKET_COUNT; i++) {
         struct blob **link = &store->buckets[i];
         while (*link) {
             struct blob *blob = *link;
-            if (wanted(context, &blob->digest)) {
+            if (is_needed(context, &blob->digest)) {
                 link = &blob->next;
                 continue;
             }
             *link = blob->next;
-            drop(store, blob);
+            release_locked(store, blob);
         }
     }
     pthread_mutex_unlock(&store->lock);
--- a/src/agent/blob_store.h
+++ b/src/agent/blob_store.h
@@ -45,7 +45,7 @@
 
 /** \brief Drop blobs for which `wanted` is false. */
 void blob_store_prune(struct blob_store *store,
-                      bool (*wanted)(void *context, const struct digest *digest), void *context);
+                      bool (*is_needed)(void *context, const struct digest *digest), void *context);
 uint64_t blob_store_bytes(struct blob_store *store);
 
 /** \brief Digests that this machine is about to get itself; told to peers that ask too early. */
--- a/src/agent/rollout.c
+++ b/src/agent/rollout.c
@@ -4,14 +4,25 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "core/hash.h"
+#include "core/swarm_plan.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define MANIFEST_MAX_BYTES (8u << 20)
-#define MANIFEST_RETRY_US 200000ULL
-#define MANIFEST_PEER_TRIES 8 /* tries at peers before the origin, but for the first rank */
-#define UPDATE_DIVISOR 2      /* announcements are this much more frequent than other updates */
+#define MANIFEST_RETRY_DELAY_US 200000ULL
+/* Attempts at peers before the origin; the machine of the first rank asks the origin at once. */
+#define MANIFEST_PEER_ATTEMPTS 8
+/* Announcements are this much more frequent than other updates. */
+#define ANNOUNCEMENTS_PER_UPDATE 2
+/* Origin budget: members that may read a chunk from the origin at once. */
+#define ORIGIN_COPIES 1
+#define ORIGIN_COPIES_TIME_WEIGHTED 4
+#define PEER_WINDOW 2 /* chunk requests in flight to one peer */
+#define BUSY_BACKOFF_US (20 * MICROSECONDS_PER_MILLISECOND)
+/* Multiples of `chunk-timeout-ms`, which itself limits the time without a received byte. */
+#define TRANSFER_CHUNK_TIMEOUTS 20 /* longest transfer */
+#define REQUEST_CHUNK_TIMEOUTS 2   /* longest request to a peer in the swarm */
 
 static uint64_t next_number = 1;
 
@@ -24,8 +35,8 @@
     rollout->store = store;
     rollout->transfer = transfer;
     rollout->model = *model;
-    rollout->started = clock_monotonic_us();
-    digest_to_hex(&model->manifest, rollout->hex);
+    rollout->started_us = clock_monotonic_us();
+    digest_to_hex(&model->manifest, rollout->manifest_hex);
     return rollout;
 }
 
@@ -68,7 +79,7 @@
         .chunk = chunk,
         .digest = *digest,
         .length = length,
-        .timeout_ms = 20 * settings->chunk_timeout_ms,
+        .timeout_ms = TRANSFER_CHUNK_TIMEOUTS * settings->chunk_timeout_ms,
         .stall_ms = settings->chunk_timeout_ms,
     };
     if (!source_url(rollout, source, digest, job.url, sizeof job.url))
@@ -95,7 +106,8 @@
 static void announce(void *context, uint64_t peer, const struct swarm_update *update)
 {
     struct rollout *rollout = context;
-    node_send_update(rollout->shell->node, clock_monotonic_us(), peer, update, rollout->hex);
+    node_send_update(rollout->shell->node, clock_monotonic_us(), peer, update,
+                     rollout->manifest_hex);
 }
 
 /* ---- manifest ---- */
@@ -108,7 +120,7 @@
     const struct fleet_config *config = node_config(rollout->shell->node);
     uint64_t key = hash_bytes(rollout->model.manifest.bytes, DIGEST_SIZE);
     uint64_t self = node_id(rollout->shell->node);
-    if (rollout->tries >= MANIFEST_PEER_TRIES)
+    if (rollout->attempts >= MANIFEST_PEER_ATTEMPTS)
         return SWARM_ORIGIN;
     for (uint32_t model = 0; placement && model < placement->model_count; model++) {
         const struct model_placement *targets = &placement->models[model];
@@ -120,25 +132,25 @@
             if (!best || hash_pair(key, id) > hash_pair(key, best))
                 best = id;
         }
-        uint64_t pick = hash_pair(self, rollout->tries) % targets->target_count;
+        uint64_t pick = hash_pair(self, rollout->attempts) % targets->target_count;
         uint64_t other = fleet->machines[targets->targets[pick]].id;
-        return best == self ? SWARM_ORIGIN : rollout->tries ? other : best;
+        return best == self ? SWARM_ORIGIN : rollout->attempts ? other : best;
     }
     return SWARM_ORIGIN;
 }
 
-static void ask_manifest(struct rollout *rollout, uint64_t now)
+static void fetch_manifest(struct rollout *rollout, uint64_t now)
 {
     uint64_t source = manifest_source(rollout);
-    rollout->tries++;
-    rollout->next_try = now + MANIFEST_RETRY_US;
+    rollout->attempts++;
+    rollout->next_attempt_us = now + MANIFEST_RETRY_DELAY_US;
     if (source == node_id(rollout->shell->node))
         return;
-    rollout->asking = start_transfer(rollout, source, TRANSFER_MANIFEST, &rollout->model.manifest,
-                                     MANIFEST_MAX_BYTES);
+    rollout->request_active = start_transfer(rollout, source, TRANSFER_MANIFEST,
+                                             &rollout->model.manifest, MANIFEST_MAX_BYTES);
 }
 
-static void hold_shared_chunks(struct rollout *rollout)
+static void mark_stored_chunks(struct rollout *rollout)
 {
     uint32_t shared = 0;
     for (uint32_t chunk = 0; chunk < rollout->manifest.chunk_count; chunk++) {
@@ -157,15 +169,18 @@
     const struct swarm_driver driver = {rollout, fetch_chunk, cancel_chunk, announce};
     uint64_t step_us = settings->origin_step_ms * MICROSECONDS_PER_MILLISECOND;
     struct swarm_settings swarm_settings = {
-        .origin_budget = rollout->weighting == ROLLOUT_TIME_WEIGHTED ? 4 : 1,
+        .origin_budget = rollout->weighting == ROLLOUT_TIME_WEIGHTED ? ORIGIN_COPIES_TIME_WEIGHTED
+                                                                     : ORIGIN_COPIES,
         .download_window = (uint32_t)settings->download_window,
-        .peer_window = 2,
+        .peer_window = PEER_WINDOW,
         .upload_limit = (uint32_t)settings->upload_limit,
         .neighbours = (uint32_t)settings->neighbours,
-        .announce_us = settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND / UPDATE_DIVISOR,
+        .announce_us =
+            settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND / ANNOUNCEMENTS_PER_UPDATE,
         .neighbour_timeout_us = settings->suspect_after_ms * MICROSECONDS_PER_MILLISECOND,
-        .chunk_timeout_us = 2 * settings->chunk_timeout_ms * MICROSECONDS_PER_MILLISECOND,
-        .busy_backoff_us = 20 * MICROSECONDS_PER_MILLISECOND,
+        .chunk_timeout_us =
+            REQUEST_CHUNK_TIMEOUTS * settings->chunk_timeout_ms * MICROSECONDS_PER_MILLISECOND,
+        .busy_backoff_us = BUSY_BACKOFF_US,
         .origin_copy_us = step_us,
         .origin_rank_delay_us = step_us,
         .join_delay_us = settings->update_interval_ms * MICROSECONDS_PER_MILLISECOND,
@@ -174,10 +189,10 @@
     uint64_t self = node_id(rollout->shell->node);
     rollout->swarm = swarm_create(&swarm_settings, self, key, rollout->manifest.chunk_count,
                                   hash_pair(self, key), &driver);
-    hold_shared_chunks(rollout);
+    mark_stored_chunks(rollout);
 }
 
-static uint16_t number_of(const struct fleet *fleet, size_t offset, uint32_t machine)
+static uint16_t location_index(const struct fleet *fleet, size_t offset, uint32_t machine)
 {
     const char *name = (const char *)&fleet->machines[machine] + offset;
     uint16_t number = 0;
@@ -204,8 +219,9 @@
     for (uint32_t i = 0; i < placement->target_count; i++) {
         uint32_t machine = placement->targets[i];
         members[i].id = fleet->machines[machine].id;
-        members[i].zone = number_of(fleet, offsetof(struct machine, zone), machine);
-        members[i].region = number_of(fleet, offsetof(struct machine, region), machine) % 16;
+        members[i].zone = location_index(fleet, offsetof(struct machine, zone), machine);
+        members[i].region =
+            location_index(fleet, offsetof(struct machine, region), machine) % SWARM_MAX_REGIONS;
     }
     uint64_t key = hash_bytes(rollout->model.manifest.bytes, DIGEST_SIZE);
     struct swarm_plan *plan =
@@ -226,12 +242,13 @@
     if (status != STATUS_OK) {
         log_event(LOG_LEVEL_ERROR, "rollout", "bad_manifest", "model=%s reason=\"%s\"",
                   rollout->model.name, status_message());
-        rollout->next_try = UINT64_MAX; /* its digest is right: no other copy can be better */
+        rollout->next_attempt_us =
+            UINT64_MAX; /* its digest is right: no other copy can be better */
         return;
     }
     create_swarm(rollout);
     rollout->state = ROLLOUT_CHUNKS;
-    rollout->tries = 0;
+    rollout->attempts = 0;
     const struct placement *placement = node_placement(rollout->shell->node);
     const struct fleet_config *config = node_config(rollout->shell->node);
     for (uint32_t i = 0; i < placement->model_count; i++)
@@ -245,7 +262,7 @@
                          const struct transfer_result *result)
 {
     if (result->job.chunk == TRANSFER_MANIFEST) {
-        rollout->asking = false;
+        rollout->request_active = false;
         if (result->stored && rollout->state == ROLLOUT_MANIFEST)
             use_manifest(rollout, now);
         return;
@@ -262,7 +279,7 @@
 void rollout_on_update(struct rollout *rollout, uint64_t now, uint64_t peer,
                        const Shuntrun__NodeUpdate *update)
 {
-    if (!rollout->swarm || strcmp(update->rollout, rollout->hex) != 0)
+    if (!rollout->swarm || strcmp(update->rollout, rollout->manifest_hex) != 0)
         return;
     size_t words = (rollout->manifest.chunk_count + 63) / 64;
     bool full = update->have_all.len == words * sizeof(uint64_t);
@@ -288,23 +305,24 @@
 
 void rollout_tick(struct rollout *rollout, uint64_t now)
 {
-    if (rollout->state == ROLLOUT_MANIFEST && !rollout->asking && now >= rollout->next_try) {
+    if (rollout->state == ROLLOUT_MANIFEST && !rollout->request_active &&
+        now >= rollout->next_attempt_us) {
         if (blob_store_has(rollout->store, &rollout->model.manifest))
             use_manifest(rollout, now);
         else
-            ask_manifest(rollout, now);
+            fetch_manifest(rollout, now);
     }
     if (rollout->swarm)
         swarm_on_tick(rollout->swarm, now);
 }
 
-bool rollout_release_when_kept(struct rollout *rollout, uint64_t now)
+bool rollout_release_expired(struct rollout *rollout, uint64_t now)
 {
     uint64_t keep_us = rollout->shell->settings->weights_keep_ms * MICROSECONDS_PER_MILLISECOND;
-    bool kept = rollout->state == ROLLOUT_READY && rollout->swarm &&
-                swarm_complete(rollout->swarm) && rollout->ready_since &&
-                now - rollout->ready_since >= keep_us;
-    if (!kept)
+    bool expired = rollout->state == ROLLOUT_READY && rollout->swarm &&
+                   swarm_complete(rollout->swarm) && rollout->ready_since_us &&
+                   now - rollout->ready_since_us >= keep_us;
+    if (!expired)
         return false;
     swarm_destroy(rollout->swarm);
     rollout->swarm = NULL;
@@ -314,16 +332,16 @@
     return true;
 }
 
-void rollout_start_again(struct rollout *rollout)
+void rollout_restart(struct rollout *rollout)
 {
-    rollout->ready_since = 0;
+    rollout->ready_since_us = 0;
     rollout->released = false;
     rollout->state = rollout->swarm ? ROLLOUT_CHUNKS : ROLLOUT_MANIFEST;
     if (!rollout->swarm)
         manifest_clear(&rollout->manifest);
 }
 
-bool rollout_wants(const struct rollout *rollout, const struct digest *digest)
+bool rollout_needs_blob(const struct rollout *rollout, const struct digest *digest)
 {
     if (digest_equal(digest, &rollout->model.manifest))
         return true;
--- a/src/agent/rollout.h
+++ b/src/agent/rollout.h
@@ -22,18 +22,18 @@
     uint64_t number; /**< unique in this process */
     enum rollout_state state;
     struct model_config model;
-    char hex[DIGEST_HEX_SIZE];
+    char manifest_hex[DIGEST_HEX_SIZE];
     struct node_shell *shell;
     struct blob_store *store;
     struct transfer *transfer;
     struct manifest manifest; /**< chunk_count 0 before it is there */
     struct swarm *swarm;
-    uint64_t started;
-    uint64_t next_try; /**< of the manifest or the load order */
-    uint32_t tries;
-    uint64_t ready_since; /**< 0: the engine has not confirmed it */
-    bool released;        /**< chunks were given up after `weights-keep-ms` */
-    bool asking;          /**< a manifest fetch or a load order is out */
+    uint64_t started_us;
+    uint64_t next_attempt_us; /**< of the manifest or the load order */
+    uint32_t attempts;
+    uint64_t ready_since_us; /**< 0: the engine has not confirmed it */
+    bool released;           /**< chunks were given up after `weights-keep-ms` */
+    bool request_active;     /**< a manifest fetch or a load order is out */
     enum rollout_weighting weighting;
 };
 
@@ -51,12 +51,12 @@
 void rollout_tick(struct rollout *rollout, uint64_t now);
 
 /** \brief Give the chunks up when they were kept long enough. \return whether they were just now */
-bool rollout_release_when_kept(struct rollout *rollout, uint64_t now);
+bool rollout_release_expired(struct rollout *rollout, uint64_t now);
 /** \brief The engine lost the version: get the chunks again if they were given up. */
-void rollout_start_again(struct rollout *rollout);
+void rollout_restart(struct rollout *rollout);
 
 /** \brief Whether this rollout needs a blob: its manifest or one of its chunks. */
-bool rollout_wants(const struct rollout *rollout, const struct digest *digest);
+bool rollout_needs_blob(const struct rollout *rollout, const struct digest *digest);
 
 /** \brief Add the digests that this machine is about to get itself. */
 void rollout_list_pending(const struct rollout *rollout, struct digest **digests, uint32_t *count);
--- a/src/agent/transfer.c
+++ b/src/agent/transfer.c
@@ -9,43 +9,43 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct active {
+struct download {
     struct transfer *transfer;
     struct transfer_job job;
-    uint64_t call;
-    struct active *next;
+    uint64_t http_request;
+    struct download *next;
 };
 
 struct transfer {
     struct loop *loop;
-    struct loop *control;
+    struct loop *control_loop;
     struct blob_store *store;
-    struct link_pace *pace;
-    loop_callback *take;
+    struct rate_limiter *limiter;
+    loop_callback *on_result;
     void *context;
-    char reader_header[128];
-    struct active *active;
+    char reader_header_line[128];
+    struct download *downloads;
     pthread_t thread;
 };
 
-struct order {
+struct posted_job {
     struct transfer *transfer;
     struct transfer_job job;
 };
 
-static void unlink_active(struct transfer *transfer, struct active *active)
+static void remove_download(struct transfer *transfer, struct download *download)
 {
-    struct active **link = &transfer->active;
-    while (*link != active)
+    struct download **link = &transfer->downloads;
+    while (*link != download)
         link = &(*link)->next;
-    *link = active->next;
+    *link = download->next;
 }
 
 static void post_result(struct transfer *transfer, const struct transfer_result *result)
 {
     struct transfer_result *copy = memory_duplicate(result, sizeof *result);
     copy->context = transfer->context;
-    loop_post(transfer->control, transfer->take, copy);
+    loop_post(transfer->control_loop, transfer->on_result, copy);
 }
 
 static void store_body(struct transfer *transfer, struct http_response *response,
@@ -64,7 +64,7 @@
     }
 }
 
-static enum swarm_failure failure_of(struct http_response *response)
+static enum swarm_failure classify_failure(struct http_response *response)
 {
     if (response->result != HTTP_COMPLETE)
         return SWARM_FAILURE_ERROR;
@@ -91,92 +91,92 @@
 
 static void on_response(void *context, struct http_response *response)
 {
-    struct active *active = context;
-    struct transfer *transfer = active->transfer;
-    struct transfer_result result = {.job = active->job,
+    struct download *download = context;
+    struct transfer *transfer = download->transfer;
+    struct transfer_result result = {.job = download->job,
                                      .retry_after_ms = response->retry_after_ms};
     if (response->result == HTTP_COMPLETE && response->status == 200)
         store_body(transfer, response, &result);
     else
-        result.failure = failure_of(response);
+        result.failure = classify_failure(response);
     count_result(&result, response->size);
-    unlink_active(transfer, active);
-    free(active);
+    remove_download(transfer, download);
+    free(download);
     post_result(transfer, &result);
 }
 
 static void on_bytes(void *context, size_t size)
 {
-    struct active *active = context;
-    link_pace_use(active->transfer->pace, size);
+    struct download *download = context;
+    rate_limiter_acquire(download->transfer->limiter, size);
 }
 
-static void start_job(void *argument)
+static void start_download(void *argument)
 {
-    struct order *order = argument;
-    struct transfer *transfer = order->transfer;
-    if (blob_store_has(transfer->store, &order->job.digest)) {
-        struct transfer_result result = {.job = order->job, .stored = true};
+    struct posted_job *posted = argument;
+    struct transfer *transfer = posted->transfer;
+    if (blob_store_has(transfer->store, &posted->job.digest)) {
+        struct transfer_result result = {.job = posted->job, .stored = true};
         post_result(transfer, &result);
-        free(order);
+        free(posted);
         return;
     }
-    struct active *active = memory_calloc(1, sizeof *active);
-    active->transfer = transfer;
-    active->job = order->job;
-    active->next = transfer->active;
-    transfer->active = active;
-    const char *headers[] = {transfer->reader_header, NULL};
+    struct download *download = memory_calloc(1, sizeof *download);
+    download->transfer = transfer;
+    download->job = posted->job;
+    download->next = transfer->downloads;
+    transfer->downloads = download;
+    const char *headers[] = {transfer->reader_header_line, NULL};
     struct http_call call = {
         .method = "GET",
-        .url = active->job.url,
+        .url = download->job.url,
         .headers = headers,
-        .body_limit = active->job.length,
-        .timeout_ms = active->job.timeout_ms,
-        .stall_ms = active->job.stall_ms,
+        .body_limit = download->job.length,
+        .timeout_ms = download->job.timeout_ms,
+        .stall_ms = download->job.stall_ms,
         .on_bytes = on_bytes,
         .on_done = on_response,
-        .context = active,
+        .context = download,
     };
-    active->call = loop_http(transfer->loop, &call);
-    free(order);
+    download->http_request = loop_http(transfer->loop, &call);
+    free(posted);
 }
 
-static void cancel_job(void *argument)
+static void cancel_download(void *argument)
 {
-    struct order *order = argument;
-    struct transfer *transfer = order->transfer;
-    for (struct active *active = transfer->active; active; active = active->next) {
-        bool same = active->job.rollout == order->job.rollout &&
-                    active->job.source == order->job.source &&
-                    active->job.chunk == order->job.chunk;
+    struct posted_job *posted = argument;
+    struct transfer *transfer = posted->transfer;
+    for (struct download *download = transfer->downloads; download; download = download->next) {
+        bool same = download->job.rollout == posted->job.rollout &&
+                    download->job.source == posted->job.source &&
+                    download->job.chunk == posted->job.chunk;
         if (!same)
             continue;
-        loop_http_cancel(transfer->loop, active->call);
-        unlink_active(transfer, active);
-        free(active);
+        loop_http_cancel(transfer->loop, download->http_request);
+        remove_download(transfer, download);
+        free(download);
         break;
     }
-    free(order);
+    free(posted);
 }
 
 void transfer_fetch(struct transfer *transfer, const struct transfer_job *job)
 {
-    struct order *order = memory_calloc(1, sizeof *order);
-    order->transfer = transfer;
-    order->job = *job;
-    loop_post(transfer->loop, start_job, order);
+    struct posted_job *posted = memory_calloc(1, sizeof *posted);
+    posted->transfer = transfer;
+    posted->job = *job;
+    loop_post(transfer->loop, start_download, posted);
 }
 
 void transfer_cancel(struct transfer *transfer, uint64_t rollout, uint64_t source, uint32_t chunk)
 {
-    struct order *order = memory_calloc(1, sizeof *order);
-    order->transfer = transfer;
-    order->job = (struct transfer_job){.rollout = rollout, .source = source, .chunk = chunk};
-    loop_post(transfer->loop, cancel_job, order);
+    struct posted_job *posted = memory_calloc(1, sizeof *posted);
+    posted->transfer = transfer;
+    posted->job = (struct transfer_job){.rollout = rollout, .source = source, .chunk = chunk};
+    loop_post(transfer->loop, cancel_download, posted);
 }
 
-static void *run(void *context)
+static void *run_thread(void *context)
 {
     struct transfer *transfer = context;
     loop_run(transfer->loop);
@@ -184,18 +184,19 @@
 }
 
 struct transfer *transfer_start(const char *reader, struct blob_store *store,
-                                struct link_pace *pace, struct loop *control, loop_callback *take,
-                                void *context)
+                                struct rate_limiter *limiter, struct loop *control_loop,
+                                loop_callback *on_result, void *context)
 {
     struct transfer *transfer = memory_calloc(1, sizeof *transfer);
     transfer->loop = loop_create();
-    transfer->control = control;
+    transfer->control_loop = control_loop;
     transfer->store = store;
-    transfer->pace = pace;
-    transfer->take = take;
+    transfer->limiter = limiter;
+    transfer->on_result = on_result;
     transfer->context = context;
-    snprintf(transfer->reader_header, sizeof transfer->reader_header, "X-Reader: %s", reader);
-    pthread_create(&transfer->thread, NULL, run, transfer);
+    snprintf(transfer->reader_header_line, sizeof transfer->reader_header_line, "X-Reader: %s",
+             reader);
+    pthread_create(&transfer->thread, NULL, run_thread, transfer);
     return transfer;
 }
 
@@ -206,10 +207,10 @@
     loop_stop(transfer->loop);
     pthread_join(transfer->thread, NULL);
     loop_run_posted(transfer->loop);
-    while (transfer->active) {
-        struct active *next = transfer->active->next;
-        free(transfer->active);
-        transfer->active = next;
+    while (transfer->downloads) {
+        struct download *next = transfer->downloads->next;
+        free(transfer->downloads);
+        transfer->downloads = next;
     }
     loop_destroy(transfer->loop);
     free(transfer);
--- a/src/agent/transfer.h
+++ b/src/agent/transfer.h
@@ -6,7 +6,7 @@
 #define SHUNTRUN_TRANSFER_H
 
 #include "agent/blob_store.h"
-#include "agent/link_pace.h"
+#include "agent/rate_limiter.h"
 #include "core/swarm.h"
 #include "net/loop.h"
 
@@ -34,12 +34,12 @@
 struct transfer;
 
 /**
- * \param control loop to which results are posted
- * \param take called there; frees the result
+ * \param control_loop to which results are posted
+ * \param on_result called there; frees the result
  */
 struct transfer *transfer_start(const char *reader, struct blob_store *store,
-                                struct link_pace *pace, struct loop *control, loop_callback *take,
-                                void *context);
+                                struct rate_limiter *limiter, struct loop *control_loop,
+                                loop_callback *on_result, void *context);
 void transfer_stop(struct transfer *transfer);
 
 void transfer_fetch(struct transfer *transfer, const struct transfer_job *job);
