--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -25,7 +25,7 @@
 #define LOAD_RETRY_DELAY_US MICROSECONDS_PER_SECOND
 #define LOAD_ORDER_LIFETIME_MS 10000
 #define PUBLISH_INTERVAL_US (200 * MICROSECONDS_PER_MILLISECOND)
-#define BUSY_RETRY_AFTER_SECONDS "0.05"
+#define BUSY_RETRY_AFTER_SECONDS "0.05" /* agents accept fractions */
 #define HTTP_THREADS 2
 
 struct agent {
@@ -39,15 +39,15 @@
     struct http_server *http;
     struct rollout *rollouts[MAX_ROLLOUTS];
     uint32_t rollout_count;
-    struct ready_model ready[NODE_MAX_READY_MODELS]; /* as the engine last confirmed */
+    struct ready_model ready[NODE_MAX_READY_MODELS]; /* as in the last status of the engine */
     uint32_t ready_count;
-    bool engine_poll_active;
+    bool engine_poll_active; /* a status request is in flight */
     uint64_t next_engine_poll_us;
     uint64_t next_publish_us;
-    uint64_t load_order_sequence;
+    uint64_t load_order_sequence; /* last part of the fencing token of load orders */
     struct daemon_drain drain;
     struct rate_limiter link_limiter;
-    uint32_t uploads; /* running now; written by HTTP threads */
+    uint32_t uploads; /* in progress; atomic, written by HTTP threads */
 };
 
 /* ---- status ---- */
@@ -76,6 +76,7 @@
     return NULL;
 }
 
+/* \return the body of a failed /readyz response, "" when the agent is ready */
 static const char *not_ready_reason(const struct agent *agent)
 {
     if (!node_config(agent->shell.node))
@@ -136,6 +137,7 @@
     return true;
 }
 
+/* Updates the states of rollouts after a status of the engine. */
 static void update_ready_rollouts(struct agent *agent)
 {
     for (uint32_t i = 0; i < agent->rollout_count; i++) {
@@ -168,7 +170,8 @@
     update_ready_rollouts(agent);
 }
 
-/* {"models": [{"model", "version", "digest"}]}; an engine that does not answer serves nothing. */
+/* Parses {"models": [{"model", "version", "digest"}]}. No model is ready on an engine that does not
+ * respond. */
 static void on_engine_status(void *context, struct http_response *response)
 {
     struct agent *agent = context;
@@ -215,6 +218,8 @@
     loop_http(agent->shell.loop, &call);
 }
 
+/* Context of a load order in flight; the rollout is looked up by number, since it may be removed
+ * meanwhile. */
 struct load_order {
     struct agent *agent;
     uint64_t rollout;
@@ -243,7 +248,7 @@
     if (!accepted)
         log_event(LOG_LEVEL_WARN, "engine", "load_refused", "status=%ld body=\"%.*s\"",
                   response->status, (int)response->size, response->body);
-    agent->next_engine_poll_us = 0; /* only the engine's status confirms */
+    agent->next_engine_poll_us = 0; /* only a status of the engine confirms the load */
 }
 
 static char *format_load_order(struct agent *agent, const struct rollout *rollout)
@@ -289,7 +294,7 @@
     free(text);
 }
 
-/* The engine is told to load only on one complete and verified manifest. */
+/* Sends the load order once all chunks of the manifest are stored and verified. */
 static void load_when_complete(struct agent *agent, struct rollout *rollout, uint64_t now)
 {
     bool complete =
@@ -307,7 +312,7 @@
     for (uint32_t i = 0; i < agent->rollout_count; i++)
         if (agent->rollouts[i]->manifest.chunk_count == 0 ||
             rollout_needs_blob(agent->rollouts[i], digest))
-            return true; /* before its manifest is known, a rollout may share any chunk */
+            return true; /* a rollout without a manifest yet may share any chunk */
     return false;
 }
 
@@ -317,6 +322,7 @@
     agent->rollouts[index] = agent->rollouts[--agent->rollout_count];
 }
 
+/* Removes rollouts whose version is no longer the configured one. */
 static void remove_outdated_rollouts(struct agent *agent, const struct fleet_config *config)
 {
     for (uint32_t i = 0; i < agent->rollout_count;) {
@@ -338,6 +344,8 @@
     return NULL;
 }
 
+/* Starts rollouts of newly placed models and passes new targets to all. A model that is no longer
+ * placed here stays. */
 static void apply_placement(struct agent *agent, uint64_t now)
 {
     const struct fleet_config *config = node_config(agent->shell.node);
@@ -391,6 +399,7 @@
     free(result);
 }
 
+/* Passes the chunks that this machine is about to fetch to the HTTP threads. */
 static void publish_pending_blobs(struct agent *agent)
 {
     struct digest *digests = NULL;
@@ -426,8 +435,9 @@
         loop_stop(agent->shell.loop);
 }
 
-/* ---- HTTP: chunks for peers and the local engine ---- */
+/* ---- HTTP: blobs for peers and the local engine ---- */
 
+/* A response in progress; holds a reference to its blob. */
 struct upload {
     struct agent *agent;
     struct blob *blob;
@@ -476,7 +486,7 @@
         reply_error(exchange, 400, status_message(), NULL);
         return;
     }
-    /* The local engine loads without counting against uploads to peers. */
+    /* Neither the upload limit nor the rate limit applies to the local engine. */
     bool is_local_engine = http_header(exchange, "X-Local-Engine") != NULL;
     uint64_t limit = agent->settings.upload_limit;
     if (!is_local_engine && ck_pr_load_32(&agent->uploads) >= limit) {
@@ -529,7 +539,7 @@
     return http_server_start(&settings);
 }
 
-/* ---- life ---- */
+/* ---- start and stop ---- */
 
 static void on_keys_changed(void *context, const struct key_ring *keys)
 {
--- a/src/agent/agent_traffic.c
+++ b/src/agent/agent_traffic.c
@@ -17,21 +17,22 @@
 
 #define TICK_INTERVAL_US (50 * MICROSECONDS_PER_MILLISECOND)
 #define PAUSE_THRESHOLD_US MICROSECONDS_PER_SECOND
-#define SEND_TIMEOUT_US MICROSECONDS_PER_SECOND /* a later start is a start after a pause */
-#define MAX_ROUTES 1024
+/* A request not sent by then counts as delayed by a pause of the process, and is not sent. */
+#define SEND_TIMEOUT_US MICROSECONDS_PER_SECOND
+#define MAX_ROUTES 1024 /* connections of gateways */
 #define MAX_LINE_BYTES (1u << 20)
 #define MAX_SERVICE_RESPONSE_BYTES (4u << 20)
 
-/* One run at the engine or service. */
+/* A run on the engine or service. */
 struct engine_run {
     struct agent_traffic *traffic;
-    uint64_t id;
-    uint64_t http_request;
-    bool is_service_call;
-    bool started;      /* response bytes came */
-    bool end_received; /* the engine's last line came */
-    uint64_t tokens;
-    uint8_t *line; /* bytes of an unfinished line */
+    uint64_t id;           /* in the executor */
+    uint64_t http_request; /* in the loop */
+    bool is_service_call;  /* a plain service: one response body instead of token lines */
+    bool started;          /* response data was received */
+    bool end_received;     /* the end line was received, with the right number of tokens */
+    uint64_t tokens;       /* offset after the last token */
+    uint8_t *line;         /* an incomplete line */
     size_t line_size;
     struct engine_run *next;
 };
@@ -49,7 +50,7 @@
     pthread_t thread;
 };
 
-/* ---- routes: connections of gateways, named by index ---- */
+/* ---- routes: connections of gateways, identified by index ---- */
 
 static uint64_t route_index(struct agent_traffic *traffic, const struct link_route *route)
 {
@@ -57,7 +58,8 @@
         if (traffic->routes[i].size == route->size && traffic->routes[i].slot == route->slot &&
             memcmp(traffic->routes[i].bytes, route->bytes, route->size) == 0)
             return i;
-    /* The oldest entry is reused; answers to its gateway are then lost, which it notices. */
+    /* A full table replaces an arbitrary entry; further answers to the gateway of that entry are
+     * lost, which it detects as a stall. */
     uint32_t index = traffic->route_count < MAX_ROUTES
                          ? traffic->route_count++
                          : (uint32_t)(clock_monotonic_us() % MAX_ROUTES);
@@ -87,7 +89,8 @@
     free(run);
 }
 
-/* A token line is {"i": N, "t": "..."}; the last one {"end": "done", "tokens": N}. */
+/* Parses {"i": N, "t": "..."}, the token at offset N, or the end line {"end": "done", "tokens": N}.
+ * Other lines are ignored. */
 static void on_engine_line(struct engine_run *run, const char *line, size_t size)
 {
     json_error_t error;
@@ -111,7 +114,7 @@
     struct engine_run *run = context;
     run->started = true;
     if (run->line_size + size > MAX_LINE_BYTES)
-        return; /* no engine writes such a line; the run ends as broken */
+        return; /* no valid line is that long; the run fails, since its end line is missing */
     run->line = memory_realloc(run->line, run->line_size + size);
     memcpy(run->line + run->line_size, data, size);
     run->line_size += size;
@@ -126,7 +129,7 @@
     memmove(run->line, run->line + start, run->line_size);
 }
 
-/* The engine or service says so itself when it did not begin. */
+/* Whether the run certainly did not start: nothing was sent, or the back end says so in X-Note. */
 static bool known_not_started(struct http_response *response)
 {
     if (response->result == HTTP_NOT_SENT)
@@ -329,8 +332,9 @@
     free(traffic);
 }
 
-/* ---- what the control thread posts ---- */
+/* ---- changes posted by the control thread ---- */
 
+/* One of `config`, `ready` and `draining` is set. */
 struct posted_change {
     struct agent_traffic *traffic;
     struct fleet_config config; /* services and tenants only; owned */
--- a/src/agent/agent_traffic.h
+++ b/src/agent/agent_traffic.h
@@ -1,6 +1,7 @@
 /**
- * The traffic thread of an agent: forwarded requests from gateways, runs on the local engine or
- * service. Its decisions are made by core/executor; the control thread posts what changes.
+ * Traffic thread of an agent: receives forwarded requests from gateways and runs them on the local
+ * engine or service, as core/executor decides. The control thread posts changes of configuration
+ * and state. All functions but start and stop may be called from any thread.
  */
 #ifndef SHUNTRUN_AGENT_TRAFFIC_H
 #define SHUNTRUN_AGENT_TRAFFIC_H
@@ -11,24 +12,32 @@
 
 struct agent_traffic;
 
-/** What the control thread sees of the traffic thread; read at any time. */
+/** State of the traffic thread as of its last tick, for the control thread. */
 struct agent_traffic_state {
-    uint32_t active;
-    uint64_t pause_epoch;
-    uint64_t ticket_epoch;
+    uint32_t active;       /**< requests in progress */
+    uint64_t pause_epoch;  /**< number of pauses of the process, see core/executor.h */
+    uint64_t ticket_epoch; /**< see core/ticket.h */
 };
 
-/** \return NULL with a status message when the port cannot be bound */
+/**
+ * \brief Bind `traffic-port` and start the thread.
+ * \param settings must stay valid until agent_traffic_stop()
+ * \return NULL with a status message when the port cannot be bound
+ */
 struct agent_traffic *agent_traffic_start(const struct settings *settings,
                                           const struct node_shell *shell);
+/** \brief Stop the thread and free all runs. NULL is ignored. */
 void agent_traffic_stop(struct agent_traffic *traffic);
 
+/** \brief Use new keys for the links of gateways; copied. */
 void agent_traffic_set_keys(struct agent_traffic *traffic, const struct key_ring *keys);
 
-/** \brief Post a configuration; `body` is parsed again on the traffic thread. */
+/** \brief Use a new configuration; its services and tenants are copied. */
 void agent_traffic_set_config(struct agent_traffic *traffic, const struct fleet_config *config);
+/** \brief Replace the models that the engine serves. \param count up to NODE_MAX_READY_MODELS */
 void agent_traffic_set_ready(struct agent_traffic *traffic, const struct ready_model *models,
                              uint32_t count);
+/** \brief Set whether new requests are refused. */
 void agent_traffic_set_draining(struct agent_traffic *traffic, bool draining);
 struct agent_traffic_state agent_traffic_state(const struct agent_traffic *traffic);
 
--- a/src/agent/blob_store.c
+++ b/src/agent/blob_store.c
@@ -12,9 +12,9 @@
 struct blob_store {
     pthread_mutex_t lock;
     struct blob *buckets[BUCKET_COUNT];
-    uint64_t bytes;
+    uint64_t bytes; /* of all blobs that are not freed */
     uint64_t limit;
-    struct digest *pending;
+    struct digest *pending; /* see blob_store_set_pending() */
     uint32_t pending_count;
 };
 
@@ -41,6 +41,7 @@
     free(store);
 }
 
+/* \return the link to the blob, or the end of its bucket */
 static struct blob **find_link(struct blob_store *store, const struct digest *digest)
 {
     uint16_t key;
@@ -51,7 +52,7 @@
     return link;
 }
 
-/* Lock held. The store's own reference or a reader's is given up. */
+/* Releases the reference of the store or of a reader; call with the lock held. */
 static void release_locked(struct blob_store *store, struct blob *blob)
 {
     if (--blob->references)
@@ -62,6 +63,7 @@
     free(blob);
 }
 
+/* Stores verified bytes; call with the lock held. */
 static enum status insert_locked(struct blob_store *store, const struct digest *digest,
                                  uint8_t *data, size_t size)
 {
@@ -72,7 +74,7 @@
     }
     if (store->bytes + size > store->limit) {
         free(data);
-        return status_fail(STATUS_EXHAUSTED, "the bound on memory for weights is reached");
+        return status_fail(STATUS_EXHAUSTED, "the limit on memory for weights is reached");
     }
     struct blob *blob = memory_calloc(1, sizeof *blob);
     blob->digest = *digest;
--- a/src/agent/blob_store.h
+++ b/src/agent/blob_store.h
@@ -1,9 +1,9 @@
 /**
- * Verified bytes by digest: chunks and manifests, in memory only, bounded and accounted.
+ * In-memory store of chunks and manifests, keyed by SHA-256 digest, with a memory limit.
  *
- * This is the one gate for weights: bytes enter only when their SHA-256 is their name, and two
- * versions cannot mix since storage is keyed by digest. Thread-safe; readers hold references, so
- * a blob that is served stays until its last byte is out.
+ * All weights pass through this store. It accepts bytes only if they match their digest, and two
+ * versions cannot mix, since the key is the digest. Thread-safe. Blobs are reference-counted: a
+ * blob that is being sent stays allocated, and counts against the limit, until the send ends.
  */
 #ifndef SHUNTRUN_BLOB_STORE_H
 #define SHUNTRUN_BLOB_STORE_H
@@ -17,6 +17,7 @@
 
 struct blob_store;
 
+/** Stored bytes; `digest`, `data` and `size` are constant, the rest belongs to the store. */
 struct blob {
     struct digest digest;
     uint8_t *data;
@@ -26,29 +27,33 @@
     struct blob *next;
 };
 
-/** \param limit bytes of blobs held at most */
+/** \param limit maximum bytes of all blobs */
 struct blob_store *blob_store_create(uint64_t limit);
+/** \brief Free the store; no blob of it may be referenced. NULL is ignored. */
 void blob_store_destroy(struct blob_store *store);
 
 /**
- * \brief Check and keep bytes.
- * \param data allocated; taken over in any case, so that weights are not copied
- * \return STATUS_CORRUPT when they do not match, STATUS_EXHAUSTED when the bound is reached
+ * \brief Verify and store bytes. Storing a digest again has no effect.
+ * \param data heap-allocated; ownership passes to the store also on failure, to avoid a copy
+ * \return STATUS_CORRUPT when they do not match `expected`, STATUS_EXHAUSTED above the limit
  */
 enum status blob_store_put(struct blob_store *store, const struct digest *expected, uint8_t *data,
                            size_t size);
 
-/** \return a referenced blob, released with blob_release(), or NULL */
+/** \return a new reference, to be released with blob_release(), or NULL */
 struct blob *blob_store_get(struct blob_store *store, const struct digest *digest);
+/** \brief Release a reference. \param blob a struct blob */
 void blob_release(void *blob);
 bool blob_store_has(struct blob_store *store, const struct digest *digest);
 
-/** \brief Drop blobs for which `wanted` is false. */
+/** \brief Remove blobs for which `is_needed` returns false; it is called with the lock held. */
 void blob_store_prune(struct blob_store *store,
                       bool (*is_needed)(void *context, const struct digest *digest), void *context);
+/** \return bytes of all blobs, including removed ones that are still referenced */
 uint64_t blob_store_bytes(struct blob_store *store);
 
-/** \brief Digests that this machine is about to get itself; told to peers that ask too early. */
+/** \brief Replace the digests that this machine is about to fetch itself, which peers that request
+ * them too early are told; copied. */
 void blob_store_set_pending(struct blob_store *store, const struct digest *digests, uint32_t count);
 bool blob_store_is_pending(struct blob_store *store, const struct digest *digest);
 
--- a/src/agent/rollout.c
+++ b/src/agent/rollout.c
@@ -92,7 +92,7 @@
 {
     struct rollout *rollout = context;
     const struct manifest *manifest = &rollout->manifest;
-    /* A source that left the machine list fails by the swarm's timeout. */
+    /* A request to a source that left the machine list fails by the timeout of the swarm. */
     start_transfer(rollout, source, chunk, &manifest->chunks[chunk],
                    manifest_chunk_length(manifest, chunk));
 }
@@ -112,7 +112,8 @@
 
 /* ---- manifest ---- */
 
-/* The best rank asks the origin at once, the others first ask random targets. */
+/* The target of the first rank requests the manifest from the origin at once. The others request it
+ * from that target, then from random targets, then from the origin. */
 static uint64_t manifest_source(const struct rollout *rollout)
 {
     const struct fleet *fleet = node_fleet(rollout->shell->node);
@@ -150,6 +151,7 @@
                                              &rollout->model.manifest, MANIFEST_MAX_BYTES);
 }
 
+/* Marks chunks that another version has already stored as held. */
 static void mark_stored_chunks(struct rollout *rollout)
 {
     uint32_t shared = 0;
@@ -192,6 +194,8 @@
     mark_stored_chunks(rollout);
 }
 
+/* Returns the index of the zone or region of a machine, in order of first appearance in the machine
+ * list; `offset` is that of the name in struct machine. */
 static uint16_t location_index(const struct fleet *fleet, size_t offset, uint32_t machine)
 {
     const char *name = (const char *)&fleet->machines[machine] + offset;
@@ -200,7 +204,7 @@
         const char *other = (const char *)&fleet->machines[i] + offset;
         if (strcmp(other, name) == 0)
             return number;
-        bool first = true; /* count names by first appearance */
+        bool first = true; /* whether no earlier machine has this name */
         for (uint32_t j = 0; j < i && first; j++)
             first = strcmp((const char *)&fleet->machines[j] + offset, other) != 0;
         number = (uint16_t)(number + first);
@@ -231,6 +235,7 @@
     free(members);
 }
 
+/* Parses the stored manifest and starts to fetch chunks. */
 static void use_manifest(struct rollout *rollout, uint64_t now)
 {
     struct blob *blob = blob_store_get(rollout->store, &rollout->model.manifest);
@@ -242,8 +247,7 @@
     if (status != STATUS_OK) {
         log_event(LOG_LEVEL_ERROR, "rollout", "bad_manifest", "model=%s reason=\"%s\"",
                   rollout->model.name, status_message());
-        rollout->next_attempt_us =
-            UINT64_MAX; /* its digest is right: no other copy can be better */
+        rollout->next_attempt_us = UINT64_MAX; /* its digest matches: all copies are equal */
         return;
     }
     create_swarm(rollout);
--- a/src/agent/transfer.c
+++ b/src/agent/transfer.c
@@ -9,6 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* A download in progress. */
 struct download {
     struct transfer *transfer;
     struct transfer_job job;
@@ -28,6 +29,7 @@
     pthread_t thread;
 };
 
+/* A job posted to the thread: to start, or to cancel by rollout, source and chunk. */
 struct posted_job {
     struct transfer *transfer;
     struct transfer_job job;
