--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -27,6 +27,8 @@
 #define PUBLISH_INTERVAL_US (200 * MICROSECONDS_PER_MILLISECOND)
 #define BUSY_RETRY_AFTER_SECONDS "0.05" /* agents accept fractions */
 #define HTTP_THREADS 2
+#define MAX_REQUEST_BYTES 4096
+#define MAX_ENGINE_RESPONSE_BYTES 65536
 
 struct agent {
     struct settings settings;
@@ -210,7 +212,7 @@
     struct http_call call = {
         .method = "GET",
         .url = url,
-        .body_limit = 65536,
+        .body_limit = MAX_ENGINE_RESPONSE_BYTES,
         .timeout_ms = ENGINE_STATUS_TIMEOUT_MS,
         .on_done = on_engine_status,
         .context = agent,
@@ -281,7 +283,7 @@
         .headers = headers,
         .body = text,
         .body_size = strlen(text),
-        .body_limit = 65536,
+        .body_limit = MAX_ENGINE_RESPONSE_BYTES,
         .timeout_ms = LOAD_TIMEOUT_MS,
         .fresh_connection = true,
         .on_done = on_load_response,
@@ -531,7 +533,7 @@
         .port = (uint16_t)agent->settings.http_port,
         .threads = HTTP_THREADS,
         .connection_limit = (unsigned)agent->settings.connection_limit,
-        .body_limit = 4096,
+        .body_limit = MAX_REQUEST_BYTES,
         .header_limit = agent->settings.header_limit_kb * 1024,
         .handler = on_http_request,
         .context = agent,
