--- a/src/agent/blob_store.c
+++ b/src/agent/blob_store.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUCKETS 4096
+#define BUCKET_COUNT 4096
 
 struct blob_store {
     pthread_mutex_t lock;
-    struct blob *buckets[BUCKETS];
-    uint64_t bytes;
+    struct blob *buckets[BUCKET_COUNT];
+    uint64_t bytes; /* of all blobs that are not freed */
     uint64_t limit;
-    struct digest *pending;
+    struct digest *pending; /* see blob_store_set_pending() */
     uint32_t pending_count;
 };
 
@@ -26,7 +26,7 @@
     return store;
 }
 
-static bool never_wanted(void *context, const struct digest *digest)
+static bool is_no_blob_needed(void *context, const struct digest *digest)
 {
     return false;
 }
@@ -35,24 +35,25 @@
 {
     if (!store)
         return;
-    blob_store_prune(store, never_wanted, NULL);
+    blob_store_prune(store, is_no_blob_needed, NULL);
     pthread_mutex_destroy(&store->lock);
     free(store->pending);
     free(store);
 }
 
+/* \return the link to the blob, or the end of its bucket */
 static struct blob **find_link(struct blob_store *store, const struct digest *digest)
 {
     uint16_t key;
     memcpy(&key, digest->bytes, sizeof key);
-    struct blob **link = &store->buckets[key % BUCKETS];
+    struct blob **link = &store->buckets[key % BUCKET_COUNT];
     while (*link && !digest_equal(&(*link)->digest, digest))
         link = &(*link)->next;
     return link;
 }
 
-/* Lock held. The store's own reference or a reader's is given up. */
-static void drop(struct blob_store *store, struct blob *blob)
+/* Releases the reference of the store or of a reader; call with the lock held. */
+static void release_locked(struct blob_store *store, struct blob *blob)
 {
     if (--blob->references)
         return;
@@ -62,8 +63,9 @@
     free(blob);
 }
 
-static enum status insert(struct blob_store *store, const struct digest *digest, uint8_t *data,
-                          size_t size)
+/* Stores verified bytes; call with the lock held. */
+static enum status insert_locked(struct blob_store *store, const struct digest *digest,
+                                 uint8_t *data, size_t size)
 {
     struct blob **link = find_link(store, digest);
     if (*link) {
@@ -72,7 +74,7 @@
     }
     if (store->bytes + size > store->limit) {
         free(data);
-        return status_fail(STATUS_EXHAUSTED, "the bound on memory for weights is reached");
+        return status_fail(STATUS_EXHAUSTED, "the limit on memory for weights is reached");
     }
     struct blob *blob = memory_calloc(1, sizeof *blob);
     blob->digest = *digest;
@@ -95,7 +97,7 @@
         return status_fail(STATUS_CORRUPT, "bytes do not match their digest");
     }
     pthread_mutex_lock(&store->lock);
-    enum status status = insert(store, expected, data, size);
+    enum status status = insert_locked(store, expected, data, size);
     pthread_mutex_unlock(&store->lock);
     return status;
 }
@@ -115,7 +117,7 @@
     struct blob *blob = context;
     struct blob_store *store = blob->store;
     pthread_mutex_lock(&store->lock);
-    drop(store, blob);
+    release_locked(store, blob);
     pthread_mutex_unlock(&store->lock);
 }
 
@@ -128,19 +130,19 @@
 }
 
 void blob_store_prune(struct blob_store *store,
-                      bool (*wanted)(void *context, const struct digest *digest), void *context)
+                      bool (*is_needed)(void *context, const struct digest *digest), void *context)
 {
     pthread_mutex_lock(&store->lock);
-    for (size_t i = 0; i < BUCKETS; i++) {
+    for (size_t i = 0; i < BUCKET_COUNT; i++) {
         struct blob **link = &store->buckets[i];
         while (*link) {
             struct blob *blob = *link;
-            if (wanted(context, &blob->digest)) {
+            if (is_needed(context, &blob->digest)) {
                 link = &blob->next;
                 continue;
             }
             *link = blob->next;
-            drop(store, blob);
+            release_locked(store, blob);
         }
     }
     pthread_mutex_unlock(&store->lock);
