--- a/tests/core/overload_test.c
+++ b/tests/core/overload_test.c
@@ -55,7 +55,7 @@
         &overload, now)); /* callers that arrived at the same time are served within 2 s */
 }
 
-static void caller_with_less_time_left_is_returning(void **state)
+static void client_with_less_time_left_is_retrying(void **state)
 {
     struct client_retry_times times = {0};
     assert_false(client_retry_detect(&times, 6000, 0));
@@ -85,7 +85,7 @@
         cmocka_unit_test(few_refusals_are_not_overload),
         cmocka_unit_test(overload_ends_when_new_callers_are_served),
         cmocka_unit_test(absent_backends_are_not_overloaded),
-        cmocka_unit_test(caller_with_less_time_left_is_returning),
+        cmocka_unit_test(client_with_less_time_left_is_retrying),
         cmocka_unit_test(long_deadline_of_one_caller_expires),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
