--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -152,9 +152,9 @@
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_received);
     if (digest_from_hex(hex, &expected) != STATUS_OK || !fetch_blob(easy, source, hex, &buffer) ||
         manifest_parse(buffer.data, buffer.size, &expected, manifest) != STATUS_OK)
-        problem = "the manifest cannot be downloaded or is invalid";
+        problem = "the manifest cannot be had";
     else if (!fetch_chunks(easy, source, manifest, &buffer))
-        problem = "a chunk cannot be downloaded or is corrupt";
+        problem = "a chunk is missing or wrong";
     curl_easy_cleanup(easy);
     curl_slist_free_all(headers);
     free(buffer.data);
@@ -208,7 +208,7 @@
     bool current = accept_fence(engine, fence);
     pthread_mutex_unlock(&engine->lock);
     if (!current)
-        return "the fence is stale";
+        return "the fence is old";
     const char *problem = fetch_version(source, digest, &manifest);
     if (problem)
         return problem;
@@ -484,7 +484,7 @@
     uint64_t waiting = engine->stream_count - count_running(engine);
     struct stream *stream = NULL;
     if (!loaded_model)
-        refuse(reply, 409, "the version is not loaded");
+        refuse(reply, 409, "that version is not loaded");
     else if (waiting >= engine->queue_limit || engine->stream_count == MAX_STREAMS)
         refuse(reply, 503, "the queue is full");
     else
@@ -538,7 +538,7 @@
     else if (standin_matches(request, "GET", "/v1/events"))
         handle_events(engine, request, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
 }
 
 int engine_main(int argc, char **argv)
--- a/src/standin/origin.c
+++ b/src/standin/origin.c
@@ -199,8 +199,7 @@
                     &shared) != 0 ||
         bytes <= 0 || chunk_bytes <= 0) {
         json_decref(body);
-        standin_reply_json(reply, 400,
-                           json_pack("{s:s}", "error", "a field is missing or invalid"));
+        standin_reply_json(reply, 400, json_pack("{s:s}", "error", "a field is missing"));
         return;
     }
     json_t *chunks = json_array();
@@ -251,7 +250,7 @@
     else if ((hex = standin_path_suffix(request, "GET", "/v1/blobs/")))
         serve_blob(origin, request, hex, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
 }
 
 int origin_main(int argc, char **argv)
--- a/src/standin/service.c
+++ b/src/standin/service.c
@@ -73,7 +73,7 @@
         standin_reply_json(
             reply, 200, json_pack("{s:I, s:s}", "number", (json_int_t)number, "id", id ? id : ""));
     } else {
-        standin_reply_json(reply, 409, json_pack("{s:s}", "error", "the fence is stale"));
+        standin_reply_json(reply, 409, json_pack("{s:s}", "error", "the fence is old"));
         reply->headers[0][0] = "X-Note";
         reply->headers[0][1] = "not-run";
     }
@@ -103,7 +103,7 @@
     else if (standin_matches(request, "POST", "/v1/call"))
         handle_call(service, request, reply);
     else
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
 }
 
 int service_main(int argc, char **argv)
--- a/src/standin/values.c
+++ b/src/standin/values.c
@@ -138,10 +138,7 @@
     int key = find_key(values, name, true);
     if (key < 0 || values->keys[key]->count == MAX_VERSIONS || request->size > MAX_VALUE_BYTES) {
         pthread_mutex_unlock(&values->lock);
-        standin_reply_json(
-            reply, 413,
-            json_pack("{s:s}", "error",
-                      "the value is too large, or there are too many keys or revisions"));
+        standin_reply_json(reply, 413, json_pack("{s:s}", "error", "too large or too many"));
         return;
     }
     struct value *value = values->keys[key];
@@ -170,7 +167,7 @@
     } else if ((key = standin_path_suffix(request, "GET", "/v1/values/"))) {
         read_value(values, request, key, reply);
     } else {
-        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such path"));
+        standin_reply_json(reply, 404, json_pack("{s:s}", "error", "no such page"));
     }
 }
 
