--- a/src/core/overload.h
+++ b/src/core/overload.h
@@ -2,10 +2,10 @@
  * Detects sustained overload: the backends of a service have been full for so long that a refused
  * caller that retries finds them full again.
  *
- * A slot given to a returning caller is then mostly too late for it, and is taken from a new caller
+ * A slot given to a retrying client is then mostly too late for it, and is taken from a new caller
  * that could have been served in time: two requests are late or refused instead of one. So
- * returning callers get only the slots that new callers leave free. Only full backends count: after
- * a power loss the backends are absent at first, and returning callers find free slots.
+ * retrying clients get only the slots that new callers leave free. Only full backends count: after
+ * a power loss the backends are absent at first, and retrying clients find free slots.
  */
 #ifndef SHUNTRUN_OVERLOAD_H
 #define SHUNTRUN_OVERLOAD_H
--- a/src/core/reader_role.h
+++ b/src/core/reader_role.h
@@ -38,7 +38,7 @@
 /**
  * \brief Time between an answer with changes and the next call. Changes come in bursts and every
  * call is paid for, so that one call fetches all changes of this time.
- * \param bound_ms drain bound: time in which all nodes must know that a back end leaves
+ * \param bound_ms drain bound: time in which all nodes must know that a backend leaves
  * \return batch delay, ms
  */
 uint32_t reader_role_batch_delay_ms(enum reader_duty duty, uint64_t bound_ms);
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -151,7 +151,7 @@
         stream->is_connected = true;
         set_options(stream);
         /* Otherwise the kernel would continue to send a request after this process was killed: the
-         * back end would receive it after it asked for no more requests, and no process could
+         * backend would receive it after it asked for no more requests, and no process could
          * cancel it. */
         set_reset_on_close(stream, true);
         uv_read_start((uv_stream_t *)&stream->handle, on_allocate, on_read);
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -1,6 +1,5 @@
 /**
- * Stand-ins (fake servers) for the platform and the back ends, for tests and the demonstration
- * only.
+ * Stand-ins (fake servers) for the platform and the backends, for tests and the demonstration only.
  *
  * Each is a small process that implements the HTTP protocol of docs/PLATFORM.md. POST /admin/fault
  * {"mode": ...} makes it inject a fault. Each connection has its own thread, so handlers may block.
--- a/tests/core/overload_test.c
+++ b/tests/core/overload_test.c
@@ -1,4 +1,4 @@
-/* Detection of sustained overload and of returning callers. */
+/* Detection of sustained overload and of retrying clients. */
 #include "testing.h"
 
 #include "core/client_retry.h"
