--- a/src/sim/fleet/callers.c
+++ b/src/sim/fleet/callers.c
@@ -13,7 +13,7 @@
 
 #define MAX_AGE_US (1 * SECOND)
 #define TIMEOUT_US (4 * SECOND)
-#define CALLER_PATIENCE_US (6 * SECOND)
+#define CALLER_TIMEOUT_US (6 * SECOND)
 #define MAX_TRIES 4
 #define MAX_CONNECTS 8
 #define PLAIN_SHARE 0.4
@@ -29,7 +29,8 @@
 /* ---- addresses ---- */
 
 /* The answer of one gateway's /v1/endpoints, for the plain service. */
-static void take_endpoints(struct world *world, struct caller_group *group, struct process *gateway)
+static void apply_endpoints(struct world *world, struct caller_group *group,
+                            struct process *gateway)
 {
     uint32_t machines[ENDPOINTS_MAX];
     uint32_t count = endpoints_list(gateway->node, gateway->stop_began != 0, world->now, machines);
@@ -47,25 +48,25 @@
     group->valid_until = world->now + MAX_AGE_US;
 }
 
-static void ask_endpoints(struct world *world, uint32_t number)
+static void refresh_endpoints(struct world *world, uint32_t number)
 {
     struct caller_group *group = &world->groups[number];
     uint32_t machine = (uint32_t)random_below(&world->callers, world->options.gateways);
-    struct process *gateway = world_current(world, machine);
+    struct process *gateway = world_current_process(world, machine);
     if (gateway && world->now >= gateway->paused_until && gateway->view)
-        take_endpoints(world, group, gateway);
+        apply_endpoints(world, group, gateway);
     uint64_t wait = world->now < group->valid_until ? MAX_AGE_US * 9 / 10 : 100 * MILLISECOND;
-    if (world->now < world->arrivals_end + CALLER_PATIENCE_US)
+    if (world->now < world->arrivals_end + CALLER_TIMEOUT_US)
         world_push(world, wait, WORLD_ENDPOINTS, 0, 0, number, NULL);
 }
 
 /* ---- attempts ---- */
 
-static void submit(struct world *world, uint32_t number)
+static void submit_attempt(struct world *world, uint32_t number)
 {
     struct call *call = &world->calls[number];
     struct caller_group *group = &world->groups[number % CALLER_GROUPS];
-    call->attempt = checker_attempt(&world->checker, call->request);
+    call->attempt = checker_add_attempt(&world->checker, call->request);
     call->state = CALL_WAITING;
     call->tokens = 0;
     call->begun = false;
@@ -73,13 +74,13 @@
     world->result.submitted++;
     for (uint32_t i = 0; i < MAX_CONNECTS && group->gateway_count; i++) {
         uint32_t machine = group->gateways[random_below(&world->callers, group->gateway_count)];
-        struct process *gateway = world_current(world, machine);
+        struct process *gateway = world_current_process(world, machine);
         if (!gateway)
             continue; /* refused: nothing was sent */
         call->gateway = gateway->index;
         world_push(world, world->options.client_delay_us, WORLD_SUBMIT, gateway->index, 0, number,
                    NULL);
-        world_push(world, CALLER_PATIENCE_US, WORLD_CALLER_TIMEOUT, (uint32_t)call->attempt, 0,
+        world_push(world, CALLER_TIMEOUT_US, WORLD_CALLER_TIMEOUT, (uint32_t)call->attempt, 0,
                    number, NULL);
         return;
     }
@@ -95,13 +96,13 @@
 
 static uint32_t pick_tenant(struct world *world)
 {
-    double large = world->options.large_tenant;
+    double large = world->options.large_tenant_share;
     if (large > 0 && random_unit(&world->callers) < large)
         return 0;
     return (uint32_t)random_below(&world->callers, world->options.tenants);
 }
 
-static void arrive(struct world *world)
+static void on_arrival(struct world *world)
 {
     if (world->call_count == world->call_capacity) {
         world->call_capacity = world->call_capacity ? 2 * world->call_capacity : 256;
@@ -116,10 +117,10 @@
     call->tenant = pick_tenant(world);
     world->result.requests++;
     world->result.large_requests += call->tenant == 0;
-    call->request = checker_request(&world->checker, call->unrepeatable);
+    call->request = checker_add_request(&world->checker, call->unrepeatable);
     if (!call->model && random_unit(&world->callers) < KEY_SHARE)
         make_key(world, call, number);
-    submit(world, number);
+    submit_attempt(world, number);
     double gap = -log(1 - random_unit(&world->callers)) / world->options.rate;
     if (world->now < world->arrivals_end)
         world_push(world, (uint64_t)(gap * 1e6) + 1, WORLD_ARRIVAL, 0, 0, 0, NULL);
@@ -127,17 +128,18 @@
 
 /* ---- ends ---- */
 
-static void ask_again(struct world *world, uint32_t number, uint64_t wait)
+static void schedule_retry(struct world *world, uint32_t number, uint64_t wait)
 {
     struct call *call = &world->calls[number];
     call->state = CALL_IDLE;
-    if (++call->tries < MAX_TRIES)
-        world_push(world, wait, WORLD_CALLER_AGAIN, 0, 0, number, NULL);
+    if (++call->attempts_made < MAX_TRIES)
+        world_push(world, wait, WORLD_RETRY, 0, 0, number, NULL);
     else
         call->state = CALL_OVER;
 }
 
-static void end_done(struct world *world, struct call *call, const struct news *news)
+static void complete_call(struct world *world, struct call *call,
+                          const struct response_event *response_event)
 {
     call->state = CALL_OVER;
     world->result.done++;
@@ -145,10 +147,11 @@
     world->result.done_in_time += call->model && world->now <= world->arrivals_end;
     if (call->model)
         histogram_add(&world->result.latency, world->now - call->arrived);
-    world->result.replayed += news->verdict.replayed;
-    bool whole = !call->model || (call->tokens == WORLD_TOKENS && news->tokens == WORLD_TOKENS);
+    world->result.replayed += response_event->completion.replayed;
+    bool whole =
+        !call->model || (call->tokens == WORLD_TOKENS && response_event->tokens == WORLD_TOKENS);
     if (!whole)
-        checker_violation(&world->checker, world->now, PROMISE_ANSWER,
+        checker_violation(&world->checker, world->now, INVARIANT_ANSWER,
                           "attempt %" PRIu64 " was said to be done with %" PRIu64 " of %d tokens",
                           call->attempt, call->tokens, WORLD_TOKENS);
     else
@@ -156,7 +159,7 @@
 }
 
 /* In runs where operators are all that happens, nothing may be cut off. */
-static bool is_planned_only(const struct world *world)
+static bool has_only_planned_changes(const struct world *world)
 {
     static const char *const names[] = {"stops", "races", "publish", "steady"};
     for (size_t i = 0; i < sizeof names / sizeof names[0]; i++)
@@ -165,117 +168,123 @@
     return false;
 }
 
-static void end_call(struct world *world, uint32_t number, const struct news *news)
+static void finish_attempt(struct world *world, uint32_t number,
+                           const struct response_event *response_event)
 {
     struct call *call = &world->calls[number];
-    uint64_t wait = news->verdict.retry_after_ms * MILLISECOND + 50 * MILLISECOND;
-    switch (news->verdict.outcome) {
+    uint64_t wait = response_event->completion.retry_after_ms * MILLISECOND + 50 * MILLISECOND;
+    switch (response_event->completion.outcome) {
     case OUTCOME_DONE:
-        end_done(world, call, news);
+        complete_call(world, call, response_event);
         break;
     case OUTCOME_NOT_RUN:
         world->result.not_run++;
-        checker_told_not_run(&world->checker, world->now, call->attempt);
-        ask_again(world, number, wait);
+        checker_reported_not_run(&world->checker, world->now, call->attempt);
+        schedule_retry(world, number, wait);
         break;
     case OUTCOME_UNKNOWN:
         world->result.unknown++;
-        if (is_planned_only(world))
-            checker_violation(&world->checker, world->now, PROMISE_STOP,
+        if (has_only_planned_changes(world))
+            checker_violation(&world->checker, world->now, INVARIANT_STOP,
                               "attempt %" PRIu64 " ended as unknown: %s", call->attempt,
-                              news->verdict.reason ? news->verdict.reason : "");
+                              response_event->completion.reason ? response_event->completion.reason
+                                                                : "");
         /* Only a key makes it safe to ask again for what must not run twice. */
         if (call->model || call->key[0])
-            ask_again(world, number, wait);
+            schedule_retry(world, number, wait);
         else
             call->state = CALL_OVER;
         break;
     }
 }
 
-static void end_broken(struct world *world, uint32_t number)
+static void finish_broken_attempt(struct world *world, uint32_t number)
 {
     struct call *call = &world->calls[number];
     world->result.broken++;
-    if (is_planned_only(world))
-        checker_violation(&world->checker, world->now, PROMISE_STOP,
+    if (has_only_planned_changes(world))
+        checker_violation(&world->checker, world->now, INVARIANT_STOP,
                           "attempt %" PRIu64 " was cut off by a planned stop", call->attempt);
     if (call->model || call->key[0])
-        ask_again(world, number, 50 * MILLISECOND);
+        schedule_retry(world, number, 50 * MILLISECOND);
     else
         call->state = CALL_OVER;
 }
 
 /* ---- answers ---- */
 
-static void take_data(struct world *world, struct call *call, const struct news *news)
+static void on_response_data(struct world *world, struct call *call,
+                             const struct response_event *response_event)
 {
-    const struct answer_bytes *bytes = &news->bytes;
+    const struct answer_piece *bytes = &response_event->bytes;
     call->source = bytes->attempt;
     if (!call->model)
         return;
     bool own = bytes->attempt < world->checker.attempt_count &&
                world->checker.attempts[bytes->attempt].request == call->request;
-    bool in_order = bytes->index == call->tokens && news->offset == call->tokens;
+    bool in_order = bytes->index == call->tokens && response_event->offset == call->tokens;
     bool one_version = !call->version || call->version == bytes->version;
     if (!own || !in_order || !one_version)
-        checker_violation(&world->checker, world->now, PROMISE_ANSWER,
+        checker_violation(&world->checker, world->now, INVARIANT_ANSWER,
                           "attempt %" PRIu64 " got token %u of attempt %" PRIu64
                           " version %u where token %" PRIu64 " of version %u was due",
                           call->attempt, bytes->index, bytes->attempt, bytes->version, call->tokens,
                           call->version);
     call->version = bytes->version;
-    call->tokens += news->count;
+    call->tokens += response_event->count;
 }
 
-static void on_news(struct world *world, const struct event *event)
+static void on_response_event(struct world *world, const struct event *event)
 {
-    const struct news *news = event->payload;
+    const struct response_event *response_event = event->payload;
     struct call *call = &world->calls[event->number];
-    if (call->state != CALL_WAITING || call->attempt != news->attempt)
+    if (call->state != CALL_WAITING || call->attempt != response_event->attempt)
         return; /* the caller has hung up */
-    switch (news->kind) {
-    case NEWS_BEGIN:
+    switch (response_event->kind) {
+    case RESPONSE_BEGIN:
         call->begun = true;
         break;
-    case NEWS_DATA:
-        take_data(world, call, news);
+    case RESPONSE_DATA:
+        on_response_data(world, call, response_event);
         break;
-    case NEWS_END:
-        world_trace(world, "end attempt %" PRIu64 " %s%s", news->attempt,
-                    outcome_name(news->verdict.outcome), news->verdict.replayed ? " replayed" : "");
-        end_call(world, event->number, news);
+    case RESPONSE_END:
+        world_trace(world, "end attempt %" PRIu64 " %s%s", response_event->attempt,
+                    outcome_name(response_event->completion.outcome),
+                    response_event->completion.replayed ? " replayed" : "");
+        finish_attempt(world, event->number, response_event);
         break;
-    case NEWS_CLOSED:
-        world_trace(world, "end attempt %" PRIu64 " broken", news->attempt);
-        end_broken(world, event->number);
+    case RESPONSE_CLOSED:
+        world_trace(world, "end attempt %" PRIu64 " broken", response_event->attempt);
+        finish_broken_attempt(world, event->number);
         break;
     }
 }
 
-static uint64_t caller_name(uint64_t attempt, uint32_t number)
+static uint64_t caller_handle(uint64_t attempt, uint32_t number)
 {
     return attempt << CALL_NUMBER_BITS | number;
 }
 
-void callers_tell(struct process *gateway, uint64_t caller, struct news *news)
+void callers_send_response(struct process *gateway, uint64_t caller,
+                           struct response_event *response_event)
 {
     struct world *world = gateway->world;
     uint32_t number = caller & ((1U << CALL_NUMBER_BITS) - 1);
-    news->process = gateway->index;
-    world_push(world, world->options.client_delay_us, WORLD_CALLER, 0, 0, number, news);
+    response_event->process = gateway->index;
+    world_push(world, world->options.client_delay_us, WORLD_RESPONSE, 0, 0, number, response_event);
 }
 
-void callers_lose_gateway(struct world *world, uint32_t process)
+void callers_close_connections(struct world *world, uint32_t process)
 {
     for (uint32_t i = 0; i < world->call_count; i++) {
         const struct call *call = &world->calls[i];
         if (call->state != CALL_WAITING || call->gateway != process)
             continue;
-        struct news *news = memory_zero(1, sizeof *news);
-        news->kind = NEWS_CLOSED;
-        news->attempt = call->attempt;
-        callers_tell(&world->processes[process], caller_name(call->attempt, i), news);
+        struct response_event *response_event = memory_zero(1, sizeof *response_event);
+        response_event->kind = RESPONSE_CLOSED;
+        response_event->attempt = call->attempt;
+        callers_send_response(&world->processes[process], caller_handle(call->attempt, i),
+                              response_event);
     }
 }
 
@@ -284,14 +293,14 @@
     struct call *call = &world->calls[event->number];
     if (call->state != CALL_WAITING || (uint32_t)call->attempt != event->to)
         return;
-    world_push(world, world->options.client_delay_us, WORLD_HANG_UP, call->gateway, event->to,
+    world_push(world, world->options.client_delay_us, WORLD_DISCONNECT, call->gateway, event->to,
                event->number, NULL);
-    end_broken(world, event->number);
+    finish_broken_attempt(world, event->number);
 }
 
 /* ---- the gateway's side of a submission ---- */
 
-static void take_submission(struct world *world, const struct event *event)
+static void on_submission(struct world *world, const struct event *event)
 {
     struct process *gateway = &world->processes[event->to];
     const struct call *call = &world->calls[event->number];
@@ -308,13 +317,14 @@
         .body = &call->attempt,
         .body_size = sizeof call->attempt,
     };
-    router_submit(gateway->router, world->now, caller_name(call->attempt, event->number), &request);
+    router_submit(gateway->router, world->now, caller_handle(call->attempt, event->number),
+                  &request);
 }
 
-static void hang_up(struct world *world, const struct event *event)
+static void on_caller_disconnect(struct world *world, const struct event *event)
 {
     struct process *gateway = &world->processes[event->to];
-    router_abandon(gateway->router, world->now, caller_name(event->from, event->number));
+    router_abandon(gateway->router, world->now, caller_handle(event->from, event->number));
 }
 
 void callers_start(struct world *world)
@@ -328,26 +338,26 @@
 {
     switch (event->type) {
     case WORLD_ARRIVAL:
-        arrive(world);
+        on_arrival(world);
         break;
     case WORLD_ENDPOINTS:
-        ask_endpoints(world, event->number);
+        refresh_endpoints(world, event->number);
         break;
     case WORLD_SUBMIT:
-        take_submission(world, event);
+        on_submission(world, event);
         break;
-    case WORLD_HANG_UP:
-        hang_up(world, event);
+    case WORLD_DISCONNECT:
+        on_caller_disconnect(world, event);
         break;
-    case WORLD_CALLER:
-        on_news(world, event);
+    case WORLD_RESPONSE:
+        on_response_event(world, event);
         break;
     case WORLD_CALLER_TIMEOUT:
         on_timeout(world, event);
         break;
-    case WORLD_CALLER_AGAIN:
+    case WORLD_RETRY:
         if (world->calls[event->number].state == CALL_IDLE)
-            submit(world, event->number);
+            submit_attempt(world, event->number);
         break;
     default:
         break;
--- a/src/sim/fleet/checker.h
+++ b/src/sim/fleet/checker.h
@@ -20,21 +20,21 @@
 #define CHECKER_DRAIN_LIMIT_US 3000000ULL
 #define CHECKER_CONFIG_LIMIT_US 5000000ULL
 
-enum promise {
-    PROMISE_PARTIAL,
-    PROMISE_ANSWER,
-    PROMISE_NOT_RUN,
-    PROMISE_ONCE,
-    PROMISE_LEAVING,
-    PROMISE_STOP,
-    PROMISE_CONFIG,
-    PROMISE_COUNT
+enum invariant {
+    INVARIANT_PARTIAL,
+    INVARIANT_ANSWER,
+    INVARIANT_NOT_RUN,
+    INVARIANT_ONCE,
+    INVARIANT_LEAVING,
+    INVARIANT_STOP,
+    INVARIANT_CONFIG,
+    INVARIANT_COUNT
 };
 
-const char *promise_name(enum promise promise);
+const char *invariant_name(enum invariant invariant);
 
 struct violation {
-    enum promise promise;
+    enum invariant invariant;
     uint64_t time;
     char text[160];
 };
@@ -43,7 +43,7 @@
 struct checked_attempt {
     uint64_t request; /**< index of the request */
     uint32_t runs;
-    bool told_not_run;
+    bool reported_not_run;
 };
 
 struct checked_request {
@@ -65,22 +65,22 @@
 void checker_init(struct checker *checker, uint32_t machine_count);
 void checker_clear(struct checker *checker);
 
-void checker_violation(struct checker *checker, uint64_t now, enum promise promise,
+void checker_violation(struct checker *checker, uint64_t now, enum invariant invariant,
                        const char *format, ...) __attribute__((format(printf, 4, 5)));
 
 /** \return index of the request */
-uint64_t checker_request(struct checker *checker, bool unrepeatable);
+uint64_t checker_add_request(struct checker *checker, bool unrepeatable);
 /** \return index of the attempt, which travels in the request's body */
-uint64_t checker_attempt(struct checker *checker, uint64_t request);
+uint64_t checker_add_attempt(struct checker *checker, uint64_t request);
 
 /** \brief A back end began to run an attempt. */
-void checker_ran(struct checker *checker, uint64_t now, uint64_t attempt);
+void checker_run_started(struct checker *checker, uint64_t now, uint64_t attempt);
 /** \brief A caller was told that an attempt did not run. */
-void checker_told_not_run(struct checker *checker, uint64_t now, uint64_t attempt);
+void checker_reported_not_run(struct checker *checker, uint64_t now, uint64_t attempt);
 /** \brief A whole answer made by `source` was given for `attempt`. */
 void checker_answered(struct checker *checker, uint64_t now, uint64_t attempt, uint64_t source);
 /** \param excused the node could not know better: restarted while cut off */
 void checker_revision(struct checker *checker, uint64_t now, uint32_t machine, uint64_t revision,
-                      bool excused);
+                      bool exempt);
 
 #endif
--- a/src/sim/fleet/fleet_sim.h
+++ b/src/sim/fleet/fleet_sim.h
@@ -49,8 +49,8 @@
     const char *name;
     const char *description;
     const enum fleet_fault_kind *kinds; /**< ended by FLEET_FAULT_KINDS */
-    uint32_t least_faults;
-    uint32_t most_faults;
+    uint32_t min_faults;
+    uint32_t max_faults;
 };
 
 /** \return all scenarios, the last one with a NULL name */
@@ -83,15 +83,16 @@
     uint32_t tenants;
     uint64_t region_delay_us;
     uint64_t client_delay_us;
-    double seconds;          /**< in which requests arrive */
-    double rate;             /**< requests a second */
-    double large_tenant;     /**< share of requests that the first tenant sends; 0: an equal one */
-    double slow_engines;     /**< share of engines that make tokens at a fourth of the speed */
-    balance_choose *balance; /**< NULL: two choices */
-    bool fenced;             /**< the plain service checks fences */
+    double seconds; /**< in which requests arrive */
+    double rate;    /**< requests a second */
+    double
+        large_tenant_share;   /**< share of requests that the first tenant sends; 0: an equal one */
+    double slow_engine_share; /**< share of engines that make tokens at a fourth of the speed */
+    balance_choose *balance;  /**< NULL: two choices */
+    bool fenced;              /**< the plain service checks fences */
     uint64_t seed;
     const struct fleet_scenario *scenario;
-    uint64_t keep_faults; /**< bit N clear: fault N is left out */
+    uint64_t enabled_faults; /**< bit N clear: fault N is left out */
     enum fleet_mutation mutation;
     FILE *trace; /**< one line for each event that tells the story; NULL: none */
 };
@@ -112,8 +113,8 @@
     uint64_t events;
     uint64_t messages;
     uint64_t platform_calls;
-    uint64_t greatest_platform_calls; /**< in one second */
-    uint64_t slowest_config_us;       /**< until in force on every undisturbed node */
+    uint64_t peak_platform_calls; /**< in one second */
+    uint64_t slowest_config_us;   /**< until in force on every undisturbed node */
     double control_bytes_per_node_per_second;
     uint32_t fault_count;
     struct fleet_fault faults[FLEET_MAX_FAULTS];
--- a/src/sim/fleet/platform.c
+++ b/src/sim/fleet/platform.c
@@ -29,12 +29,12 @@
     const struct publication *publication;
 };
 
-static struct platform_value *value_of(struct world *world, Shuntrun__DocumentKind kind)
+static struct platform_document *document_of(struct world *world, Shuntrun__DocumentKind kind)
 {
     return kind == SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG ? &world->config : &world->list;
 }
 
-static struct publication *publish(struct platform_value *value, uint64_t at, char *body)
+static struct publication *publish(struct platform_document *value, uint64_t at, char *body)
 {
     if (value->count == WORLD_MAX_PUBLICATIONS)
         abort();
@@ -122,7 +122,7 @@
 
 /* ---- reads ---- */
 
-static uint32_t visible_revision(const struct world *world, const struct platform_value *value)
+static uint32_t visible_revision(const struct world *world, const struct platform_document *value)
 {
     uint32_t newest = value->count;
     while (newest && value->publications[newest - 1].at > world->now)
@@ -131,15 +131,15 @@
     return stale && value->stale_revision < newest ? value->stale_revision : newest;
 }
 
-static void count_call(struct world *world)
+static void count_platform_call(struct world *world)
 {
     if (world->now / SECOND != world->call_window) {
         world->call_window = world->now / SECOND;
         world->calls_in_window = 0;
     }
     world->result.platform_calls++;
-    if (++world->calls_in_window > world->result.greatest_platform_calls)
-        world->result.greatest_platform_calls = world->calls_in_window;
+    if (++world->calls_in_window > world->result.peak_platform_calls)
+        world->result.peak_platform_calls = world->calls_in_window;
 }
 
 void platform_read(struct process *process, Shuntrun__DocumentKind kind, uint64_t known_revision)
@@ -147,7 +147,7 @@
     struct world *world = process->world;
     struct document_read *read = memory_zero(1, sizeof *read);
     *read = (struct document_read){process->index, kind, known_revision, world->now + WATCH_US};
-    count_call(world);
+    count_platform_call(world);
     world_push(world, PLATFORM_DELAY_US, WORLD_READ, 0, process->machine, 0, read);
 }
 
@@ -159,12 +159,12 @@
     answer->result = result;
     answer->revision = result == NODE_READ_NEWER ? revision : UINT64_MAX;
     if (result == NODE_READ_NEWER)
-        answer->publication = &value_of(world, read->kind)->publications[revision - 1];
+        answer->publication = &document_of(world, read->kind)->publications[revision - 1];
     world_push(world, delay, WORLD_READ_ANSWER, read->process, 0, 0, answer);
 }
 
 /* A cut machine cannot reach the platform either. */
-static bool platform_unreachable(const struct world *world, const struct platform_value *value,
+static bool platform_unreachable(const struct world *world, const struct platform_document *value,
                                  uint32_t machine)
 {
     const struct world_machine *entry = &world->machines[machine];
@@ -174,7 +174,7 @@
 static void on_read(struct world *world, const struct event *event)
 {
     const struct document_read *read = event->payload;
-    struct platform_value *value = value_of(world, read->kind);
+    struct platform_document *value = document_of(world, read->kind);
     if (platform_unreachable(world, value, event->from)) {
         answer_read(world, read, NODE_READ_FAILED, 0, READ_TIMEOUT_US);
         return;
--- a/src/sim/fleet/processes.c
+++ b/src/sim/fleet/processes.c
@@ -14,15 +14,15 @@
 #define TICK_US (20 * MILLISECOND)
 #define UPDATE_US (500 * MILLISECOND)
 #define SUSPECT_US (1500 * MILLISECOND)
-#define POST_SPREAD_US 200
-#define SEND_WITHIN_US (1 * SECOND)
+#define SEND_DELAY_SPREAD_US 200
+#define SEND_DEADLINE_US (1 * SECOND)
 #define KEY_WINDOW_US (8 * SECOND)
 #define CAPACITY 16
 #define AGENT_SUBSET 32
 #define MAX_AGE_US (1 * SECOND)
-#define DRAIN_LEAST_US (500 * MILLISECOND)
-#define LOAD_LEAST_US (300 * MILLISECOND)
-#define LOAD_SPREAD_US (1200 * MILLISECOND)
+#define DRAIN_MIN_US (500 * MILLISECOND)
+#define LOAD_TIME_MIN_US (300 * MILLISECOND)
+#define LOAD_TIME_SPREAD_US (1200 * MILLISECOND)
 
 /* ---- node driver ---- */
 
@@ -31,10 +31,10 @@
     struct process *process = context;
     struct world *world = process->world;
     uint32_t machine = world_find(world, to->id)->index;
-    struct process *target = world_current(world, machine);
+    struct process *target = world_current_process(world, machine);
     if (!target)
         return;
-    struct packet *packet = world_pack(message);
+    struct packet *packet = world_pack_message(message);
     world->control_bytes += packet->size;
     world_send(world, WORLD_CONTROL, process->machine, machine, target->index, process->machine,
                packet);
@@ -47,7 +47,7 @@
 
 /* Serial of the configuration in force: written into its policy, so that the checker does not
  * depend on revisions. */
-uint64_t process_serial(const struct process *process)
+uint64_t process_config_serial(const struct process *process)
 {
     const struct fleet_config *config = node_config(process->node);
     unsigned serial = 0;
@@ -69,11 +69,11 @@
     if (!backend->model || !placed || backend->loaded == version || process->loading == version)
         return;
     process->loading = version;
-    uint64_t delay = LOAD_LEAST_US + random_below(&world->nodes, LOAD_SPREAD_US);
+    uint64_t delay = LOAD_TIME_MIN_US + random_below(&world->nodes, LOAD_TIME_SPREAD_US);
     world_push(world, delay, WORLD_LOADED, process->machine, process->index, version, NULL);
 }
 
-static void give_view(struct process *process)
+static void update_routing_view(struct process *process)
 {
     struct world *world = process->world;
     const struct machine *self = &world->machines[process->machine].listing;
@@ -90,7 +90,7 @@
     routing_view_destroy(old);
 }
 
-static void link_peers(struct process *process)
+static void link_gateways(struct process *process)
 {
     const struct fleet *fleet = node_fleet(process->node);
     uint32_t count;
@@ -123,13 +123,13 @@
     struct process *process = context;
     struct world *world = process->world;
     const struct world_machine *machine = &world->machines[process->machine];
-    uint64_t serial = process_serial(process);
+    uint64_t serial = process_config_serial(process);
     if (serial)
         checker_revision(&world->checker, world->now, process->machine, serial,
-                         process->zombie || machine->excused);
+                         process->zombie || machine->exempt);
     if (process->gateway) {
-        link_peers(process);
-        give_view(process);
+        link_gateways(process);
+        update_routing_view(process);
         return;
     }
     if (!node_config(process->node) || !node_placement(process->node))
@@ -144,13 +144,13 @@
 
 /* ---- router driver ---- */
 
-static enum router_send_result forward(void *context, const struct machine *agent,
-                                       Shuntrun__Forward *message)
+static enum router_send_result send_forward(void *context, const struct machine *agent,
+                                            Shuntrun__Forward *message)
 {
     struct process *process = context;
     struct world *world = process->world;
     uint32_t machine = world_find(world, agent->id)->index;
-    struct process *target = world_current(world, machine);
+    struct process *target = world_current_process(world, machine);
     bool known_dead = !target && world->now - world->machines[machine].died_at > 50 * MILLISECOND;
     if (known_dead)
         return ROUTER_NOT_SENT;
@@ -161,7 +161,7 @@
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_FORWARD;
     envelope.forward = message;
     world_send(world, WORLD_REQUEST, process->machine, machine, target->index, process->index,
-               world_pack(&envelope));
+               world_pack_message(&envelope));
     return ROUTER_SENT;
 }
 
@@ -170,55 +170,56 @@
     struct process *process = context;
     struct world *world = process->world;
     uint32_t machine = world_find(world, agent->id)->index;
-    struct process *target = world_current(world, machine);
+    struct process *target = world_current_process(world, machine);
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
     if (!target)
         return;
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_CANCEL;
     envelope.cancel = message;
     world_send(world, WORLD_REQUEST, process->machine, machine, target->index, process->index,
-               world_pack(&envelope));
+               world_pack_message(&envelope));
 }
 
-static struct news *make_news(uint64_t caller, enum news_kind kind)
+static struct response_event *make_response_event(uint64_t caller, enum response_event_kind kind)
 {
-    struct news *news = memory_zero(1, sizeof *news);
-    news->kind = kind;
-    news->attempt = caller >> CALL_NUMBER_BITS;
-    return news;
+    struct response_event *response_event = memory_zero(1, sizeof *response_event);
+    response_event->kind = kind;
+    response_event->attempt = caller >> CALL_NUMBER_BITS;
+    return response_event;
 }
 
-static void begin(void *context, uint64_t caller, const struct ready_model *model)
+static void send_begin(void *context, uint64_t caller, const struct ready_model *model)
 {
-    callers_tell(context, caller, make_news(caller, NEWS_BEGIN));
+    callers_send_response(context, caller, make_response_event(caller, RESPONSE_BEGIN));
 }
 
 /* A piece of an answer may hold many tokens, as a kept answer does. */
-static void data(void *context, uint64_t caller, uint64_t offset, uint32_t count,
-                 const uint8_t *bytes, size_t size)
+static void send_data(void *context, uint64_t caller, uint64_t offset, uint32_t count,
+                      const uint8_t *bytes, size_t size)
 {
-    size_t pieces = size / sizeof(struct answer_bytes);
+    size_t pieces = size / sizeof(struct answer_piece);
     for (size_t i = 0; i < pieces; i++) {
-        struct news *news = make_news(caller, NEWS_DATA);
-        memcpy(&news->bytes, bytes + i * sizeof news->bytes, sizeof news->bytes);
-        news->offset = offset + i;
-        news->count = count ? 1 : 0;
-        callers_tell(context, caller, news);
+        struct response_event *response_event = make_response_event(caller, RESPONSE_DATA);
+        memcpy(&response_event->bytes, bytes + i * sizeof response_event->bytes,
+               sizeof response_event->bytes);
+        response_event->offset = offset + i;
+        response_event->count = count ? 1 : 0;
+        callers_send_response(context, caller, response_event);
     }
 }
 
-static void end(void *context, uint64_t caller, uint64_t tokens,
-                const struct router_result *verdict)
+static void send_end(void *context, uint64_t caller, uint64_t tokens,
+                     const struct router_result *completion)
 {
     struct process *process = context;
-    struct news *news = make_news(caller, NEWS_END);
-    news->verdict = *verdict;
-    news->verdict.reason = ""; /* lives only during the call */
-    news->tokens = tokens;
+    struct response_event *response_event = make_response_event(caller, RESPONSE_END);
+    response_event->completion = *completion;
+    response_event->completion.reason = ""; /* lives only during the call */
+    response_event->tokens = tokens;
     bool early = process->world->options.mutation == FLEET_MUTATION_EARLY_NOT_RUN;
-    if (early && verdict->outcome == OUTCOME_UNKNOWN)
-        news->verdict.outcome = OUTCOME_NOT_RUN;
-    callers_tell(process, caller, news);
+    if (early && completion->outcome == OUTCOME_UNKNOWN)
+        response_event->completion.outcome = OUTCOME_NOT_RUN;
+    callers_send_response(process, caller, response_event);
 }
 
 /* ---- executor driver ---- */
@@ -232,7 +233,7 @@
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_ANSWER;
     envelope.answer = message;
     world_send(world, WORLD_ANSWER, process->machine, gateway->machine, gateway->index,
-               process->machine, world_pack(&envelope));
+               process->machine, world_pack_message(&envelope));
 }
 
 static void start_run(void *context, uint64_t run, const Shuntrun__Forward *message,
@@ -240,20 +241,20 @@
 {
     struct process *process = context;
     struct world *world = process->world;
-    struct order *order = memory_zero(1, sizeof *order);
+    struct run_request *run_request = memory_zero(1, sizeof *run_request);
     uint64_t valid =
-        message->remaining_us < SEND_WITHIN_US ? message->remaining_us : SEND_WITHIN_US;
-    order->process = process->index;
-    order->run = run;
-    memcpy(&order->attempt, message->body.data, sizeof order->attempt);
-    order->deadline = world->now + valid;
-    order->fence = *fence;
-    order->model = model != NULL;
-    order->next_token = message->resume_offset;
+        message->remaining_us < SEND_DEADLINE_US ? message->remaining_us : SEND_DEADLINE_US;
+    run_request->process = process->index;
+    run_request->run = run;
+    memcpy(&run_request->attempt, message->body.data, sizeof run_request->attempt);
+    run_request->deadline = world->now + valid;
+    run_request->fence = *fence;
+    run_request->model = model != NULL;
+    run_request->next_token = message->resume_offset;
     if (model)
-        snprintf(order->digest, sizeof order->digest, "%s", model->digest);
-    world_push(world, random_below(&world->nodes, POST_SPREAD_US), WORLD_POST, process->index, 0, 0,
-               order);
+        snprintf(run_request->digest, sizeof run_request->digest, "%s", model->digest);
+    world_push(world, random_below(&world->nodes, SEND_DELAY_SPREAD_US), WORLD_SEND_RUN,
+               process->index, 0, 0, run_request);
 }
 
 static void cancel_run(void *context, uint64_t run)
@@ -271,7 +272,8 @@
         .stall_us = 2 * SECOND,
         .balance = process->world->options.balance,
     };
-    struct router_driver driver = {process, forward, cancel_forward, begin, data, end};
+    struct router_driver driver = {process,    send_forward, cancel_forward,
+                                   send_begin, send_data,    send_end};
     process->router = router_create(&settings, process->incarnation, seed, &driver);
 }
 
@@ -327,9 +329,9 @@
         return;
     process->alive = false;
     if (process->gateway)
-        callers_lose_gateway(world, process->index);
+        callers_close_connections(world, process->index);
     else
-        backend_drop(world, process->machine, process->index, false);
+        backend_close_connections(world, process->machine, process->index, false);
     if (machine->process == process->index) {
         machine->process = NO_PROCESS;
         machine->died_at = world->now;
@@ -369,14 +371,14 @@
 static void end_planned_stop(struct process *process)
 {
     uint64_t waited = process->world->now - process->stop_began;
-    uint64_t least = process->gateway ? MAX_AGE_US + DRAIN_LEAST_US : DRAIN_LEAST_US;
+    uint64_t least = process->gateway ? MAX_AGE_US + DRAIN_MIN_US : DRAIN_MIN_US;
     if (process->stop_began && waited >= least && active_requests(process) == 0)
         process_kill(process);
 }
 
 /* ---- events ---- */
 
-static void take_ready(struct process *process, struct node_status *status)
+static void fill_ready_models(struct process *process, struct node_status *status)
 {
     const struct backend *backend = &process->world->machines[process->machine].backend;
     if (!backend->model || !backend->loaded)
@@ -387,7 +389,7 @@
     version_digest(backend->loaded, ready->digest);
 }
 
-static void tell_status(struct process *process)
+static void update_status(struct process *process)
 {
     struct node_status status = {
         .incarnation = process->incarnation,
@@ -398,7 +400,7 @@
     if (!process->gateway) {
         status.pause_epoch = executor_pause_epoch(process->executor);
         status.ticket_epoch = executor_ticket_epoch(process->executor, process->world->now);
-        take_ready(process, &status);
+        fill_ready_models(process, &status);
         executor_set_ready(process->executor, status.ready, status.ready_count);
         executor_set_draining(process->executor, status.draining);
     }
@@ -411,9 +413,9 @@
     if (process->executor)
         executor_on_tick(process->executor, now);
     node_on_tick(process->node, now);
-    tell_status(process);
+    update_status(process);
     if (process->gateway) {
-        give_view(process);
+        update_routing_view(process);
         router_on_tick(process->router, now);
     }
     world_push(process->world, TICK_US, WORLD_TICK, process->index, 0, 0, NULL);
@@ -437,7 +439,7 @@
     Shuntrun__Forward *request = message->forward;
     if (world->options.mutation == FLEET_MUTATION_NO_KEYS && request->idempotency_key[0])
         request->idempotency_key[0] = 0;
-    if (world->options.mutation == FLEET_MUTATION_NO_GUARD && packet->doubled)
+    if (world->options.mutation == FLEET_MUTATION_NO_GUARD && packet->duplicate)
         request->sequence += 1ULL << 40;
     if (world->options.mutation == FLEET_MUTATION_NO_VERSION && request->version_digest[0])
         request->version_digest[0] = 0;
@@ -475,7 +477,7 @@
 static void on_backend_answer(struct process *process, const struct progress *progress)
 {
     uint64_t now = process->world->now;
-    struct answer_bytes bytes = {progress->attempt, progress->version, (uint32_t)progress->offset};
+    struct answer_piece bytes = {progress->attempt, progress->version, (uint32_t)progress->offset};
     const uint8_t *raw = (const uint8_t *)&bytes;
     switch (progress->kind) {
     case PROGRESS_TOKENS:
@@ -509,14 +511,14 @@
     case WORLD_READ_ANSWER:
         platform_handle(process->world, event);
         break;
-    case WORLD_POST:
-        backend_post(process, event->payload);
+    case WORLD_SEND_RUN:
+        backend_send(process, event->payload);
         break;
     case WORLD_BACKEND_ANSWER:
         on_backend_answer(process, event->payload);
         break;
     case WORLD_SUBMIT:
-    case WORLD_HANG_UP:
+    case WORLD_DISCONNECT:
         callers_handle(process->world, event);
         break;
     default:
--- a/src/sim/fleet/world.c
+++ b/src/sim/fleet/world.c
@@ -17,8 +17,8 @@
 #define SLOW_ENGINE_STEPS 4
 #define JITTER_US 500
 #define SHUFFLE_JITTER_US (60 * MILLISECOND)
-#define DOUBLE_SHARE 0.2
-#define AFTERMATH_US (12 * SECOND) /* the run goes on so long after the last arrival */
+#define DUPLICATE_SHARE 0.2
+#define SETTLE_TIME_US (12 * SECOND) /* the run goes on so long after the last arrival */
 
 /* ---- services of this file to the others ---- */
 
@@ -45,7 +45,7 @@
     fputc('\n', world->options.trace);
 }
 
-struct packet *world_pack(const Shuntrun__Envelope *message)
+struct packet *world_pack_message(const Shuntrun__Envelope *message)
 {
     size_t size = shuntrun__envelope__get_packed_size(message);
     struct packet *packet = memory_zero(1, sizeof *packet + size);
@@ -75,7 +75,7 @@
     return a->zone == b->zone || (!a_out && !b_out);
 }
 
-struct process *world_current(struct world *world, uint32_t machine)
+struct process *world_current_process(struct world *world, uint32_t machine)
 {
     uint32_t process = world->machines[machine].process;
     return process == NO_PROCESS ? NULL : &world->processes[process];
@@ -114,9 +114,9 @@
     }
     if (world->now < world->shuffle_until) {
         delay += random_below(&world->network, SHUFFLE_JITTER_US);
-        if (random_unit(&world->network) < DOUBLE_SHARE) {
+        if (random_unit(&world->network) < DUPLICATE_SHARE) {
             struct packet *copy = memory_copy(packet, sizeof *packet + packet->size);
-            copy->doubled = true;
+            copy->duplicate = true;
             uint64_t later = delay + random_below(&world->network, SHUFFLE_JITTER_US);
             world_push(world, later, type, to, from, 0, copy);
         }
@@ -140,11 +140,11 @@
         .rate = 25,
         .fenced = true,
         .seed = 1,
-        .keep_faults = UINT64_MAX,
+        .enabled_faults = UINT64_MAX,
     };
 }
 
-static void name_machine(struct world *world, uint32_t i)
+static void init_machine(struct world *world, uint32_t i)
 {
     const struct fleet_sim_options *options = &world->options;
     struct world_machine *machine = &world->machines[i];
@@ -155,8 +155,8 @@
     machine->zone = i % options->zones;
     machine->process = NO_PROCESS;
     machine->backend.model = engine;
-    machine->backend.slowness =
-        engine && i - options->gateways < options->slow_engines * options->engines
+    machine->backend.steps_per_token =
+        engine && i - options->gateways < options->slow_engine_share * options->engines
             ? SLOW_ENGINE_STEPS
             : 1;
     snprintf(listing->name, sizeof listing->name, "%s-%u",
@@ -189,7 +189,7 @@
     world->arrivals_end = (uint64_t)(options->seconds * SECOND) + FIRST_ARRIVAL_US;
     checker_init(&world->checker, world->machine_count);
     for (uint32_t i = 0; i < world->machine_count; i++)
-        name_machine(world, i);
+        init_machine(world, i);
     world->by_id = memory_zero(world->machine_count, sizeof *world->by_id);
     for (uint32_t i = 0; i < world->machine_count; i++)
         world->by_id[i] = &world->machines[i];
@@ -223,16 +223,17 @@
 static void check_config_in_force(struct world *world, uint32_t serial)
 {
     uint64_t published = world->config.publications[serial - 1].at;
-    if (world->last_disturbance > published)
+    if (world->disturbed_until > published)
         return;
     for (uint32_t i = 0; i < world->machine_count; i++) {
-        struct process *process = world_current(world, i);
-        bool counts = process && process->started + NEWS_GRACE_US < published &&
+        struct process *process = world_current_process(world, i);
+        bool counts = process && process->started + PROPAGATION_GRACE_US < published &&
                       world->now >= process->paused_until;
-        if (counts && process_serial(process) < serial)
-            checker_violation(&world->checker, world->now, PROMISE_CONFIG,
+        if (counts && process_config_serial(process) < serial)
+            checker_violation(&world->checker, world->now, INVARIANT_CONFIG,
                               "%s has configuration %" PRIu64 ", %u was published 5 s ago",
-                              world->machines[i].listing.name, process_serial(process), serial);
+                              world->machines[i].listing.name, process_config_serial(process),
+                              serial);
     }
 }
 
@@ -246,7 +247,7 @@
     world_trace(world, "loaded %s v%u", world->machines[event->to].listing.name, event->number);
 }
 
-static bool is_for_process(uint32_t type)
+static bool is_process_event(uint32_t type)
 {
     switch (type) {
     case WORLD_TICK:
@@ -254,10 +255,10 @@
     case WORLD_REQUEST:
     case WORLD_ANSWER:
     case WORLD_READ_ANSWER:
-    case WORLD_POST:
+    case WORLD_SEND_RUN:
     case WORLD_BACKEND_ANSWER:
     case WORLD_SUBMIT:
-    case WORLD_HANG_UP:
+    case WORLD_DISCONNECT:
         return true;
     default:
         return false;
@@ -316,7 +317,7 @@
 static void run(struct world *world)
 {
     struct event event;
-    uint64_t end = world->arrivals_end + AFTERMATH_US;
+    uint64_t end = world->arrivals_end + SETTLE_TIME_US;
     while (event_queue_pop(&world->queue, &event)) {
         world->now = event.time;
         if (world->now > end) {
@@ -325,7 +326,7 @@
         }
         world->result.events++;
         bool over = true;
-        if (is_for_process(event.type))
+        if (is_process_event(event.type))
             over = handle_process_event(world, &event);
         else
             handle_world_event(world, &event);
@@ -356,10 +357,10 @@
     smaller.trace = NULL;
     uint32_t count = fleet_simulate(&smaller).fault_count;
     for (uint32_t i = 0; i < count; i++) {
-        uint64_t kept = smaller.keep_faults;
-        smaller.keep_faults &= ~(1ULL << i);
+        uint64_t kept = smaller.enabled_faults;
+        smaller.enabled_faults &= ~(1ULL << i);
         if (!fleet_simulate(&smaller).violation_count)
-            smaller.keep_faults = kept;
+            smaller.enabled_faults = kept;
     }
-    return smaller.keep_faults & ((1ULL << count) - 1);
+    return smaller.enabled_faults & ((1ULL << count) - 1);
 }
--- a/src/sim/fleet/world.h
+++ b/src/sim/fleet/world.h
@@ -24,7 +24,8 @@
 #define CALL_NUMBER_BITS 20 /* a router's caller is attempt << these bits | call number */
 #define WORLD_TOKENS 20     /* of each model answer */
 
-#define NEWS_GRACE_US (3 * SECOND) /* a disturbance excuses late news so long after its end */
+#define PROPAGATION_GRACE_US                                                                       \
+    (3 * SECOND) /* a disturbance excuses late news so long after its end */
 
 enum world_event {
     WORLD_TICK,           /* process `to` */
@@ -33,7 +34,7 @@
     WORLD_ANSWER,         /* to gateway process, from agent machine; payload packet */
     WORLD_READ,           /* at the platform; payload document_read */
     WORLD_READ_ANSWER,    /* to process; payload document_answer */
-    WORLD_POST,           /* process `to` sends run `number` to its back end; payload order */
+    WORLD_SEND_RUN,       /* process `to` sends run `number` to its back end; payload order */
     WORLD_RUN,            /* the order reaches the back end of machine `to` */
     WORLD_STEP,           /* the back end of machine `to` makes progress */
     WORLD_BACKEND_ANSWER, /* to process; payload progress */
@@ -41,10 +42,10 @@
     WORLD_ARRIVAL,        /* a caller's request arrives */
     WORLD_SUBMIT,         /* to gateway process; `number` is the call */
     WORLD_ENDPOINTS,      /* caller group `number` asks for addresses */
-    WORLD_CALLER,         /* to call `number`; payload news */
-    WORLD_HANG_UP,        /* to gateway process; the caller of attempt `from` is gone */
+    WORLD_RESPONSE,       /* to call `number`; payload news */
+    WORLD_DISCONNECT,     /* to gateway process; the caller of attempt `from` is gone */
     WORLD_CALLER_TIMEOUT, /* of call `number` */
-    WORLD_CALLER_AGAIN,   /* call `number` tries again */
+    WORLD_RETRY,          /* call `number` tries again */
     WORLD_START,          /* start a process on machine `to` */
     WORLD_FAULT,          /* fault `number` begins */
     WORLD_FAULT_END,
@@ -53,12 +54,12 @@
 
 struct packet {
     size_t size;
-    bool doubled; /* a second delivery of the same message */
+    bool duplicate; /* a second delivery of the same message */
     uint8_t bytes[];
 };
 
 /** One order on its way to a back end, and the run it becomes. */
-struct order {
+struct run_request {
     uint32_t process;
     uint64_t run;
     uint64_t attempt;
@@ -83,7 +84,7 @@
 };
 
 /** A token, or the answer of the plain service, as it travels. */
-struct answer_bytes {
+struct answer_piece {
     uint64_t attempt;
     uint32_t version;
     uint32_t index;
@@ -93,9 +94,9 @@
     bool model;
     uint32_t loaded; /* version; 0: none */
     uint64_t stalled_until;
-    struct order runs[WORLD_MAX_RUNS];
+    struct run_request runs[WORLD_MAX_RUNS];
     uint32_t run_count;
-    uint32_t slowness;           /* steps for one token */
+    uint32_t steps_per_token;    /* steps for one token */
     uint64_t newest_incarnation; /* of fences */
 };
 
@@ -107,7 +108,7 @@
     uint64_t died_at;
     bool listed_leaving;
     uint64_t leaving_since; /* its planned stop or listing began; 0: not leaving */
-    bool excused;           /* cut or paused since: it could not know */
+    bool exempt;            /* cut or paused since: it could not know */
     uint32_t cuts;          /* cuts in force, both ways */
     uint32_t outward_cuts;
     struct backend backend;
@@ -140,7 +141,7 @@
     uint64_t attempt;
     uint32_t tenant;
     uint32_t gateway; /* process that has it */
-    uint32_t tries;
+    uint32_t attempts_made;
     uint64_t arrived;
     bool model;
     bool unrepeatable;
@@ -152,18 +153,18 @@
     uint64_t source; /* attempt that made the answer */
 };
 
-enum news_kind { NEWS_BEGIN, NEWS_DATA, NEWS_END, NEWS_CLOSED };
+enum response_event_kind { RESPONSE_BEGIN, RESPONSE_DATA, RESPONSE_END, RESPONSE_CLOSED };
 
-struct news {
+struct response_event {
     uint32_t process;
     uint64_t attempt;
-    enum news_kind kind;
+    enum response_event_kind kind;
     uint32_t http_status;
-    struct router_result verdict;
+    struct router_result completion;
     uint64_t tokens;
     uint64_t offset;
     uint32_t count;
-    struct answer_bytes bytes;
+    struct answer_piece bytes;
 };
 
 struct publication {
@@ -175,7 +176,7 @@
 
 #define WORLD_MAX_PUBLICATIONS 128
 
-struct platform_value {
+struct platform_document {
     struct publication publications[WORLD_MAX_PUBLICATIONS]; /* revision N is at N - 1 */
     uint32_t count;
     uint64_t down_until;
@@ -213,13 +214,13 @@
     uint32_t call_count;
     uint32_t call_capacity;
     struct caller_group groups[CALLER_GROUPS];
-    struct platform_value config;
-    struct platform_value list;
+    struct platform_document config;
+    struct platform_document list;
     uint32_t model_version;
     uint32_t home_variant;
     uint32_t zone_cut; /* bit by zone */
     uint64_t shuffle_until;
-    uint64_t last_disturbance; /* until then nodes may be excused from news */
+    uint64_t disturbed_until; /* until then nodes may be excused from news */
     uint64_t call_window;
     uint64_t calls_in_window;
     uint64_t control_bytes;
@@ -231,10 +232,10 @@
                 uint32_t from, uint32_t number, void *payload);
 void world_trace(struct world *world, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-struct packet *world_pack(const Shuntrun__Envelope *message);
+struct packet *world_pack_message(const Shuntrun__Envelope *message);
 uint64_t world_delay(struct world *world, uint32_t from, uint32_t to);
 bool world_reachable(const struct world *world, uint32_t from, uint32_t to);
-struct process *world_current(struct world *world, uint32_t machine);
+struct process *world_current_process(struct world *world, uint32_t machine);
 struct world_machine *world_find(struct world *world, uint64_t id);
 /** Deliver a message over a network that may double and reorder it. */
 void world_send(struct world *world, enum world_event type, uint32_t from_machine,
@@ -250,7 +251,7 @@
 void process_kill(struct process *process);
 void process_handle(struct process *process, const struct event *event);
 void process_stop(struct process *process);
-uint64_t process_serial(const struct process *process);
+uint64_t process_config_serial(const struct process *process);
 
 /* platform.c */
 void platform_publish_config(struct world *world, bool good);
@@ -259,18 +260,20 @@
 void platform_handle(struct world *world, const struct event *event);
 
 /* backend.c */
-void backend_post(struct process *process, struct order *order);
+void backend_send(struct process *process, struct run_request *run_request);
 void backend_run(struct world *world, const struct event *event);
 void backend_step(struct world *world, const struct event *event);
 void backend_cancel(struct process *process, uint64_t run);
-void backend_drop(struct world *world, uint32_t machine, uint32_t process, bool tell);
+void backend_close_connections(struct world *world, uint32_t machine, uint32_t process,
+                               bool notify);
 
 /* callers.c */
 void callers_start(struct world *world);
 void callers_handle(struct world *world, const struct event *event);
-void callers_lose_gateway(struct world *world, uint32_t process);
+void callers_close_connections(struct world *world, uint32_t process);
 /** \param caller attempt and call number, as given to the router */
-void callers_tell(struct process *gateway, uint64_t caller, struct news *news);
+void callers_send_response(struct process *gateway, uint64_t caller,
+                           struct response_event *response_event);
 const char *version_digest(uint32_t version, char hex[DIGEST_HEX_SIZE]);
 
 #endif
--- a/src/sim/fleet/world_faults.c
+++ b/src/sim/fleet/world_faults.c
@@ -4,8 +4,8 @@
 #include "sim/fleet/world.h"
 
 #define FIRST_FAULT_US (FIRST_ARRIVAL_US + SECOND)
-#define LEAST_FAULT_US (300 * MILLISECOND)
-#define FAULT_SPREAD_US (5 * SECOND)
+#define FAULT_DURATION_MIN_US (300 * MILLISECOND)
+#define FAULT_DURATION_SPREAD_US (5 * SECOND)
 
 /* ---- faults ---- */
 
@@ -32,16 +32,17 @@
     uint32_t kinds = 0;
     while (scenario->kinds[kinds] != FLEET_FAULT_KINDS)
         kinds++;
-    uint32_t spread = scenario->most_faults - scenario->least_faults + 1;
-    uint32_t count = scenario->least_faults + (uint32_t)random_below(&world->faults, spread);
+    uint32_t spread = scenario->max_faults - scenario->min_faults + 1;
+    uint32_t count = scenario->min_faults + (uint32_t)random_below(&world->faults, spread);
     uint64_t span = world->arrivals_end - FIRST_FAULT_US;
     for (uint32_t i = 0; i < count && kinds; i++) {
         struct fleet_fault *fault = &world->result.faults[i];
         fault->kind = scenario->kinds[random_below(&world->faults, kinds)];
         fault->at = FIRST_FAULT_US + random_below(&world->faults, span);
-        fault->duration = LEAST_FAULT_US + random_below(&world->faults, FAULT_SPREAD_US);
+        fault->duration =
+            FAULT_DURATION_MIN_US + random_below(&world->faults, FAULT_DURATION_SPREAD_US);
         fault->machine = pick_machine(world, fault->kind);
-        if (world->options.keep_faults >> i & 1)
+        if (world->options.enabled_faults >> i & 1)
             world_push(world, fault->at, WORLD_FAULT, 0, 0, i, NULL);
     }
     world->result.fault_count = count;
@@ -49,7 +50,7 @@
 
 static void pause_process(struct world *world, uint32_t machine, uint64_t duration)
 {
-    struct process *process = world_current(world, machine);
+    struct process *process = world_current_process(world, machine);
     if (process && process->paused_until < world->now + duration)
         process->paused_until = world->now + duration;
 }
@@ -57,7 +58,7 @@
 /* The frozen process keeps its state; the machine gets a new one at once. */
 static void make_zombie(struct world *world, uint32_t machine, uint64_t duration)
 {
-    struct process *process = world_current(world, machine);
+    struct process *process = world_current_process(world, machine);
     if (!process)
         return;
     pause_process(world, machine, duration);
@@ -67,7 +68,7 @@
     world_push(world, 100 * MILLISECOND, WORLD_START, machine, 0, 0, NULL);
 }
 
-static void leave(struct world *world, uint32_t machine)
+static void announce_leaving(struct world *world, uint32_t machine)
 {
     struct world_machine *entry = &world->machines[machine];
     if (entry->listed_leaving)
@@ -78,50 +79,50 @@
     entry->leaving_since = world->list.publications[world->list.count - 1].at;
 }
 
-static void disturb(struct world *world, uint64_t until)
+static void extend_disturbance(struct world *world, uint64_t until)
 {
-    if (until + NEWS_GRACE_US > world->last_disturbance)
-        world->last_disturbance = until + NEWS_GRACE_US;
+    if (until + PROPAGATION_GRACE_US > world->disturbed_until)
+        world->disturbed_until = until + PROPAGATION_GRACE_US;
 }
 
-static void excuse(struct world *world, uint32_t machine)
+static void exempt_machine(struct world *world, uint32_t machine)
 {
-    world->machines[machine].excused = true;
+    world->machines[machine].exempt = true;
 }
 
-static void excuse_zone(struct world *world, uint32_t zone)
+static void exempt_zone(struct world *world, uint32_t zone)
 {
     for (uint32_t i = 0; i < world->machine_count; i++)
         if (world->machines[i].zone == zone)
-            excuse(world, i);
+            exempt_machine(world, i);
 }
 
-static void excuse_all(struct world *world)
+static void exempt_all(struct world *world)
 {
     for (uint32_t i = 0; i < world->machine_count; i++)
-        excuse(world, i);
+        exempt_machine(world, i);
 }
 
 static void kill_zone(struct world *world, uint32_t zone)
 {
     for (uint32_t i = 0; i < world->machine_count; i++)
-        if (world->machines[i].zone == zone && world_current(world, i))
-            process_kill(world_current(world, i));
+        if (world->machines[i].zone == zone && world_current_process(world, i))
+            process_kill(world_current_process(world, i));
 }
 
 static void start_zone(struct world *world, uint32_t zone)
 {
     for (uint32_t i = 0; i < world->machine_count; i++)
-        if (world->machines[i].zone == zone && !world_current(world, i))
+        if (world->machines[i].zone == zone && !world_current_process(world, i))
             process_start(world, i);
 }
 
 static void restart_all_but(struct world *world, uint32_t survivor)
 {
     for (uint32_t i = 0; i < world->machine_count; i++) {
-        if (i == survivor || !world_current(world, i))
+        if (i == survivor || !world_current_process(world, i))
             continue;
-        process_kill(world_current(world, i));
+        process_kill(world_current_process(world, i));
         world_push(world, random_below(&world->nodes, 500 * MILLISECOND), WORLD_START, i, 0, 0,
                    NULL);
     }
@@ -143,7 +144,7 @@
     const struct fleet_fault *fault = &world->result.faults[number];
     uint64_t until = world->now + fault->duration;
     uint32_t machine = fault->machine;
-    struct process *process = world_current(world, machine);
+    struct process *process = world_current_process(world, machine);
     world_trace(world, "fault %s %s for %.1f s", fleet_fault_name(fault->kind),
                 is_zone_fault(fault->kind) ? "" : world->machines[machine].listing.name,
                 (double)fault->duration / SECOND);
@@ -153,42 +154,42 @@
             process_kill(process);
         break;
     case FLEET_PAUSE:
-        excuse(world, machine);
+        exempt_machine(world, machine);
         pause_process(world, machine, fault->duration);
-        disturb(world, until);
+        extend_disturbance(world, until);
         break;
     case FLEET_ZOMBIE:
         make_zombie(world, machine, fault->duration);
         break;
     case FLEET_CUT:
         world->machines[machine].cuts++;
-        excuse(world, machine);
-        disturb(world, until);
+        exempt_machine(world, machine);
+        extend_disturbance(world, until);
         break;
     case FLEET_CUT_ZONE:
         world->zone_cut |= 1U << machine;
-        excuse_zone(world, machine);
-        disturb(world, until);
+        exempt_zone(world, machine);
+        extend_disturbance(world, until);
         break;
     case FLEET_CUT_OUTWARD:
         world->machines[machine].outward_cuts++;
-        excuse(world, machine);
-        disturb(world, until);
+        exempt_machine(world, machine);
+        extend_disturbance(world, until);
         break;
     case FLEET_SHUFFLE:
         world->shuffle_until = until;
         break;
     case FLEET_CONFIG_DOWN:
         world->config.down_until = until;
-        disturb(world, until);
+        extend_disturbance(world, until);
         break;
     case FLEET_CONFIG_STALE:
         begin_stale(world, until);
-        disturb(world, until);
+        extend_disturbance(world, until);
         break;
     case FLEET_LIST_DOWN:
         world->list.down_until = until;
-        excuse_all(world);
+        exempt_all(world);
         break;
     case FLEET_NEW_VERSION:
         world->model_version++;
@@ -202,7 +203,7 @@
         platform_publish_config(world, false);
         break;
     case FLEET_LEAVE:
-        leave(world, machine);
+        announce_leaving(world, machine);
         break;
     case FLEET_STOP:
         if (process)
@@ -212,7 +213,7 @@
         world->machines[machine].backend.stalled_until = until;
         break;
     case FLEET_BACKEND_BREAK:
-        backend_drop(world, machine, NO_PROCESS, true);
+        backend_close_connections(world, machine, NO_PROCESS, true);
         break;
     case FLEET_KILL_ZONE:
         kill_zone(world, machine);
--- a/src/sim/scenario_run.c
+++ b/src/sim/scenario_run.c
@@ -19,7 +19,7 @@
     *options = fleet_sim_options_default();
     options->scenario = fleet_scenario_find(scenario);
     options->seed = seed;
-    options->keep_faults = run->keep_faults;
+    options->enabled_faults = run->enabled_faults;
     options->fenced = seed % 2 == 0; /* both kinds of plain service in every range of seeds */
     options->mutation = run->mutation;
     if (!options->scenario)
@@ -46,8 +46,8 @@
         options->gateways = run->gateways;
     if (run->engines)
         options->engines = run->engines;
-    options->large_tenant = run->large_tenant;
-    options->slow_engines = run->slow_engines;
+    options->large_tenant_share = run->large_tenant_share;
+    options->slow_engine_share = run->slow_engine_share;
     options->balance = run->balance;
     if (run->rate > 0)
         options->rate = run->rate;
@@ -61,7 +61,7 @@
 struct totals {
     uint64_t runs;
     uint64_t failed;
-    uint64_t violations[PROMISE_COUNT];
+    uint64_t violations[INVARIANT_COUNT];
     uint64_t submitted;
     uint64_t done;
     uint64_t not_run;
@@ -75,7 +75,7 @@
     uint64_t large_done;
     double goodput; /* sum of the runs' */
     struct histogram latency;
-    uint64_t greatest_platform_calls;
+    uint64_t peak_platform_calls;
     double greatest_control;
 };
 
@@ -90,7 +90,7 @@
     totals->runs++;
     totals->failed += result->violation_count > 0;
     for (uint64_t i = 0; i < result->violation_count && i < CHECKER_MAX_VIOLATIONS; i++)
-        totals->violations[result->violations[i].promise]++;
+        totals->violations[result->violations[i].invariant]++;
     totals->submitted += result->submitted;
     totals->done += result->done;
     totals->not_run += result->not_run;
@@ -99,8 +99,8 @@
     totals->replayed += result->replayed;
     totals->faults += result->fault_count;
     totals->events += result->events;
-    if (result->greatest_platform_calls > totals->greatest_platform_calls)
-        totals->greatest_platform_calls = result->greatest_platform_calls;
+    if (result->peak_platform_calls > totals->peak_platform_calls)
+        totals->peak_platform_calls = result->peak_platform_calls;
     if (result->control_bytes_per_node_per_second > totals->greatest_control)
         totals->greatest_control = result->control_bytes_per_node_per_second;
 }
@@ -110,7 +110,7 @@
 {
     uint64_t kept = fleet_shrink(options);
     struct fleet_sim_options smaller = *options;
-    smaller.keep_faults = kept;
+    smaller.enabled_faults = kept;
     struct fleet_sim_result shortest = fleet_simulate(&smaller);
     fprintf(stderr, "%s seed %" PRIu64 ": %" PRIu64 " violations; these faults suffice:\n",
             options->scenario->name, options->seed, result->violation_count);
@@ -121,7 +121,7 @@
                     shortest.faults[i].machine, (double)shortest.faults[i].duration / 1e6);
     for (uint64_t i = 0; i < shortest.violation_count && i < CHECKER_MAX_VIOLATIONS; i++)
         fprintf(stderr, "  %.6f s: %s: %s\n", (double)shortest.violations[i].time / 1e6,
-                promise_name(shortest.violations[i].promise), shortest.violations[i].text);
+                invariant_name(shortest.violations[i].invariant), shortest.violations[i].text);
     fprintf(stderr,
             "  again: shuntrun simulate --scenario %s --seeds %" PRIu64 "..%" PRIu64
             " --fleet %s --mutation %s --keep-faults 0x%" PRIx64 " --record FILE\n",
@@ -137,8 +137,8 @@
 static json_t *describe_totals(const char *scenario, const struct totals *totals)
 {
     json_t *violations = json_object();
-    for (int i = 0; i < PROMISE_COUNT; i++)
-        json_object_set_new(violations, promise_name((enum promise)i),
+    for (int i = 0; i < INVARIANT_COUNT; i++)
+        json_object_set_new(violations, invariant_name((enum invariant)i),
                             json_integer((json_int_t)totals->violations[i]));
     return json_pack("{s:s, s:I, s:I, s:o, "
                      "s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, "
@@ -155,7 +155,7 @@
                      totals->goodput / (double)(totals->runs ? totals->runs : 1), "p50_ms",
                      quantile_ms(totals, 0.5), "p95_ms", quantile_ms(totals, 0.95), "p99_ms",
                      quantile_ms(totals, 0.99), "greatest_platform_calls_per_second",
-                     (json_int_t)totals->greatest_platform_calls,
+                     (json_int_t)totals->peak_platform_calls,
                      "greatest_control_bytes_per_node_per_second", totals->greatest_control);
 }
 
@@ -167,7 +167,7 @@
            " calls/s; control at most %.0f B/s a node\n",
            scenario, totals->runs, totals->failed, totals->faults, totals->submitted, totals->done,
            totals->not_run, totals->unknown, totals->broken, totals->replayed,
-           totals->greatest_platform_calls, totals->greatest_control);
+           totals->peak_platform_calls, totals->greatest_control);
 }
 
 static enum status run_scenario(const struct scenario_run *run, const char *scenario,
@@ -252,7 +252,7 @@
         abort(); /* names were checked by the caller */
     options.trace = stream;
     fprintf(stream, HEAD_FORMAT, scenario, run->fleet, seed, fleet_mutation_name(run->mutation),
-            run->keep_faults);
+            run->enabled_faults);
     struct fleet_sim_result result = fleet_simulate(&options);
     fprintf(stream,
             "attempts=%" PRIu64 " done=%" PRIu64 " not-run=%" PRIu64 " unknown=%" PRIu64
@@ -260,7 +260,7 @@
             result.submitted, result.done, result.not_run, result.unknown, result.broken,
             result.violation_count);
     for (uint64_t i = 0; i < result.violation_count && i < CHECKER_MAX_VIOLATIONS; i++)
-        fprintf(stream, "violation %s: %s\n", promise_name(result.violations[i].promise),
+        fprintf(stream, "violation %s: %s\n", invariant_name(result.violations[i].invariant),
                 result.violations[i].text);
     return result;
 }
@@ -292,7 +292,7 @@
                         "shuntrun-session scenario=%63s fleet=%31s seed=%" SCNu64
                         " mutation=%31s keep-faults=%" SCNx64,
                         head->scenario, head->fleet, &head->run.first_seed, head->mutation,
-                        &head->run.keep_faults);
+                        &head->run.enabled_faults);
     struct fleet_sim_options options;
     head->run.fleet = head->fleet;
     return fields == 5 && parse_mutation(head->mutation, &head->run.mutation) &&
--- a/src/sim/scenario_run.h
+++ b/src/sim/scenario_run.h
@@ -15,14 +15,14 @@
     const char *fleet;    /**< "brief", "matchmaking", "large" or "small" */
     uint32_t gateways;    /**< these override the fleet's, when not 0 */
     uint32_t engines;
-    double large_tenant;
-    double slow_engines;
+    double large_tenant_share;
+    double slow_engine_share;
     balance_choose *balance;
     double rate;
     double seconds;
     uint64_t first_seed;
     uint64_t last_seed;
-    uint64_t keep_faults;
+    uint64_t enabled_faults;
     enum fleet_mutation mutation;
     const char *record; /**< file for the session of one seed; NULL: none */
     bool json;
--- a/src/sim/simulate.c
+++ b/src/sim/simulate.c
@@ -210,13 +210,13 @@
         run->mutation = parse_mutation(argument, state);
         break;
     case KEY_KEEP_FAULTS:
-        run->keep_faults = strtoull(argument, NULL, 0);
+        run->enabled_faults = strtoull(argument, NULL, 0);
         break;
     case KEY_LARGE_TENANT:
-        run->large_tenant = parse_positive(argument, state);
+        run->large_tenant_share = parse_positive(argument, state);
         break;
     case KEY_SLOW_ENGINES:
-        run->slow_engines = parse_positive(argument, state);
+        run->slow_engine_share = parse_positive(argument, state);
         break;
     case KEY_BALANCE:
         run->balance = parse_balance(argument, state);
@@ -400,7 +400,7 @@
     struct simulate_options options = {
         .rollout = rollout_options_default(),
         .scenario = {
-            .fleet = "brief", .first_seed = 1, .last_seed = 20, .keep_faults = UINT64_MAX}};
+            .fleet = "brief", .first_seed = 1, .last_seed = 20, .enabled_faults = UINT64_MAX}};
     struct argp argp = {option_list, parse_option, NULL, doc, NULL, NULL, NULL};
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
--- a/tests/sim/golden_test.c
+++ b/tests/sim/golden_test.c
@@ -39,7 +39,7 @@
                             " mutation=none keep-faults=%" SCNx64,
                             scenario, &seed, &keep),
                      3);
-    struct scenario_run run = {.fleet = "small", .keep_faults = keep};
+    struct scenario_run run = {.fleet = "small", .enabled_faults = keep};
     char *text = NULL;
     size_t again_size = 0;
     FILE *stream = open_memstream(&text, &again_size);
