--- a/src/sim/event_queue.c
+++ b/src/sim/event_queue.c
@@ -31,7 +31,7 @@
     queue->heap[at] = event;
 }
 
-static size_t least_child(const struct event_queue *queue, size_t parent)
+static size_t smallest_child(const struct event_queue *queue, size_t parent)
 {
     size_t first = CHILDREN * parent + 1;
     size_t last = first + CHILDREN < queue->count ? first + CHILDREN : queue->count;
@@ -50,7 +50,7 @@
     struct event moved = queue->heap[--queue->count];
     size_t at = 0;
     while (CHILDREN * at + 1 < queue->count) {
-        size_t child = least_child(queue, at);
+        size_t child = smallest_child(queue, at);
         if (!before(&queue->heap[child], &moved))
             break;
         queue->heap[at] = queue->heap[child];
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -16,7 +16,7 @@
     uint32_t to;
     uint32_t from;
     uint32_t number;
-    bool shuffled; /**< came late already */
+    bool delayed; /**< came late already */
     void *payload;
 };
 
--- a/src/sim/rollout/rollout_faults.c
+++ b/src/sim/rollout/rollout_faults.c
@@ -10,15 +10,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_LAG_SECONDS 10.0 /* deaths show in the machine list after so long */
-#define LIST_STEP_SECONDS 5.0 /* and in steps of so long */
-#define PAUSE_LEAST_SECONDS 2.0
+#define LIST_LAG_SECONDS 10.0            /* deaths show in the machine list after so long */
+#define LIST_UPDATE_INTERVAL_SECONDS 5.0 /* and in steps of so long */
+#define PAUSE_MIN_SECONDS 2.0
 #define PAUSE_SPREAD_SECONDS 30.0
-#define SHUFFLE_SECONDS 2.0 /* a message comes later by up to so much */
+#define MESSAGE_DELAY_MAX_SECONDS 2.0 /* a message comes later by up to so much */
 
 /* ---- events of faults ---- */
 
-static void stop_machine(struct machine_sim *machine)
+static void stop_machine(struct simulated_machine *machine)
 {
     rollout_sim_stop_serving(machine);
     machine->alive = false;
@@ -27,20 +27,20 @@
     machine->swarm = NULL;
 }
 
-void rollout_sim_on_return(struct rollout_sim *sim, const struct event *event)
+void rollout_sim_on_rejoin(struct rollout_sim *sim, const struct event *event)
 {
-    struct machine_sim *machine = &sim->machines[event->to];
+    struct simulated_machine *machine = &sim->machines[event->to];
     machine->alive = true;
     machine->version = sim->newest;
     machine->incarnation++;
-    rollout_sim_empty_content(machine);
+    rollout_sim_clear_content(machine);
     rollout_sim_start_machine(machine, 2 * sim->options.swarm.announce_us);
 }
 
 /* The new version shares the first chunks with the old one, by digest. */
-void rollout_sim_on_change(struct rollout_sim *sim, const struct event *event)
+void rollout_sim_on_new_version(struct rollout_sim *sim, const struct event *event)
 {
-    struct machine_sim *machine = &sim->machines[event->to];
+    struct simulated_machine *machine = &sim->machines[event->to];
     if (sim->newest == 0) {
         sim->newest = 1;
         for (uint32_t i = 0; i < sim->options.machines; i++)
@@ -55,14 +55,14 @@
     rollout_sim_start_machine(machine, 0);
 }
 
-void rollout_sim_on_list(struct rollout_sim *sim)
+void rollout_sim_on_list_update(struct rollout_sim *sim)
 {
     bool changed = false;
     for (uint32_t i = 0; i < sim->options.machines; i++) {
-        struct machine_sim *machine = &sim->machines[i];
-        bool here = machine->alive && !machine->stalled;
-        changed = changed || machine->listed != here;
-        machine->listed = here;
+        struct simulated_machine *machine = &sim->machines[i];
+        bool present = machine->alive && !machine->stalled;
+        changed = changed || machine->listed != present;
+        machine->listed = present;
     }
     if (changed) {
         for (uint32_t version = 0; version < 2; version++) {
@@ -70,30 +70,30 @@
             sim->plans[version] = NULL;
         }
         for (uint32_t i = 0; i < sim->options.machines; i++) {
-            struct machine_sim *machine = &sim->machines[i];
+            struct simulated_machine *machine = &sim->machines[i];
             if (machine->alive && !machine->stalled)
                 swarm_set_plan(machine->swarm, sim->now / 1000,
                                rollout_sim_plan(sim, machine->version));
         }
     }
-    rollout_sim_push(sim, sim->now + rollout_sim_seconds(LIST_STEP_SECONDS), EVENT_LIST, 0, 0, 0,
-                     NULL);
+    rollout_sim_push(sim, sim->now + rollout_sim_seconds(LIST_UPDATE_INTERVAL_SECONDS),
+                     EVENT_LIST_UPDATE, 0, 0, 0, NULL);
 }
 
-void rollout_sim_kill_machine(struct rollout_sim *sim, const struct event *event, bool returns)
+void rollout_sim_kill_machine(struct rollout_sim *sim, const struct event *event, bool rejoins)
 {
-    struct machine_sim *machine = &sim->machines[event->to];
+    struct simulated_machine *machine = &sim->machines[event->to];
     if (!machine->alive || machine->stalled)
         return;
     stop_machine(machine);
-    if (returns)
-        rollout_sim_push(sim, sim->now + rollout_sim_seconds(RESTART_SECONDS), EVENT_RETURN,
+    if (rejoins)
+        rollout_sim_push(sim, sim->now + rollout_sim_seconds(RESTART_SECONDS), EVENT_REJOIN,
                          event->to, event->to, 0, NULL);
 }
 
 void rollout_sim_stall_machine(struct rollout_sim *sim, const struct event *event)
 {
-    struct machine_sim *machine = &sim->machines[event->to];
+    struct simulated_machine *machine = &sim->machines[event->to];
     if (!machine->alive)
         return;
     machine->stalled = true;
@@ -130,32 +130,32 @@
     schedule_on_machines(sim, faults->stall, EVENT_STALL);
     schedule_on_machines(sim, faults->pause, EVENT_PAUSE);
     schedule_span(sim, faults->origin_down, EVENT_ORIGIN_DOWN, EVENT_ORIGIN_UP);
-    schedule_span(sim, faults->part, EVENT_PART, EVENT_HEAL);
+    schedule_span(sim, faults->partition, EVENT_PARTITION, EVENT_HEAL);
     if (faults->change > 0)
         for (uint32_t i = 0; i < sim->options.machines; i++) {
             double at = faults->change * sim->options.window_seconds +
                         random_unit(&sim->random) * CONFIG_SPREAD_SECONDS;
-            rollout_sim_push(sim, rollout_sim_seconds(at), EVENT_CHANGE, i, i, 0, NULL);
+            rollout_sim_push(sim, rollout_sim_seconds(at), EVENT_NEW_VERSION, i, i, 0, NULL);
         }
-    rollout_sim_push(sim, rollout_sim_seconds(LIST_LAG_SECONDS), EVENT_LIST, 0, 0, 0, NULL);
+    rollout_sim_push(sim, rollout_sim_seconds(LIST_LAG_SECONDS), EVENT_LIST_UPDATE, 0, 0, 0, NULL);
 }
 
 uint64_t rollout_sim_pause_length(struct rollout_sim *sim)
 {
-    return rollout_sim_seconds(PAUSE_LEAST_SECONDS +
+    return rollout_sim_seconds(PAUSE_MIN_SECONDS +
                                random_unit(&sim->random) * PAUSE_SPREAD_SECONDS);
 }
 
 static bool is_message(uint32_t type)
 {
-    return type == EVENT_REQUEST || type == EVENT_ARRIVE || type == EVENT_REFUSE ||
+    return type == EVENT_REQUEST || type == EVENT_CHUNK_RECEIVED || type == EVENT_REFUSE ||
            type == EVENT_UPDATE;
 }
 
 /* \return whether the event was put off, since its machine stands still */
-bool rollout_sim_put_off(struct rollout_sim *sim, const struct event *event)
+bool rollout_sim_defer(struct rollout_sim *sim, const struct event *event)
 {
-    if (event->to == ORIGIN || event->type > EVENT_CHANGE || event->type == EVENT_DIE)
+    if (event->to == ORIGIN || event->type > EVENT_NEW_VERSION || event->type == EVENT_DIE)
         return false;
     uint64_t until = sim->machines[event->to].paused_until;
     if (sim->now >= until)
@@ -182,16 +182,17 @@
 }
 
 /* A message is told to come later, or to come a second time. \return whether it is gone for now */
-bool rollout_sim_shuffle(struct rollout_sim *sim, const struct event *event)
+bool rollout_sim_delay_or_duplicate(struct rollout_sim *sim, const struct event *event)
 {
-    if (!is_message(event->type) || event->shuffled)
+    if (!is_message(event->type) || event->delayed)
         return false;
     if (random_unit(&sim->random) >= sim->options.faults.shuffle)
         return false;
     struct event later = *event;
     bool twice = random_below(&sim->random, 2) == 0;
-    later.shuffled = true;
-    later.time = sim->now + random_below(&sim->random, rollout_sim_seconds(SHUFFLE_SECONDS));
+    later.delayed = true;
+    later.time =
+        sim->now + random_below(&sim->random, rollout_sim_seconds(MESSAGE_DELAY_MAX_SECONDS));
     if (twice)
         later.payload = copy_payload(event);
     event_queue_push(&sim->queue, later);
--- a/src/sim/rollout/rollout_machines.c
+++ b/src/sim/rollout/rollout_machines.c
@@ -17,10 +17,10 @@
 
 uint64_t rollout_sim_seconds(double value)
 {
-    return (uint64_t)(value * NANOSECOND);
+    return (uint64_t)(value * NANOSECONDS_PER_SECOND);
 }
 
-uint64_t rollout_sim_use_link(struct link *link, uint64_t now, uint64_t bytes)
+uint64_t rollout_sim_reserve_link(struct link *link, uint64_t now, uint64_t bytes)
 {
     uint64_t start = link->busy_until > now ? link->busy_until : now;
     link->busy_until = start + (uint64_t)((double)bytes * link->nanoseconds_per_byte);
@@ -38,8 +38,8 @@
 {
     if (left == ORIGIN || right == ORIGIN)
         return rollout_sim_seconds(sim->options.region_delay_seconds);
-    const struct machine_sim *a = &sim->machines[left];
-    const struct machine_sim *b = &sim->machines[right];
+    const struct simulated_machine *a = &sim->machines[left];
+    const struct simulated_machine *b = &sim->machines[right];
     if (a->region != b->region)
         return rollout_sim_seconds(sim->options.region_delay_seconds);
     return a->zone != b->zone ? rollout_sim_seconds(sim->options.zone_delay_seconds) : 0;
@@ -49,12 +49,12 @@
  * that the side of the origin is one: regions 1 and up have lost it. */
 bool rollout_sim_reachable(const struct rollout_sim *sim, uint32_t left, uint32_t right)
 {
-    if (!sim->parted || left == ORIGIN || right == ORIGIN)
+    if (!sim->partitioned || left == ORIGIN || right == ORIGIN)
         return true;
     return (sim->machines[left].region == 0) == (sim->machines[right].region == 0);
 }
 
-static struct machine_sim *find_machine(struct rollout_sim *sim, uint64_t id)
+static struct simulated_machine *find_machine(struct rollout_sim *sim, uint64_t id)
 {
     uint32_t low = 0;
     uint32_t high = sim->options.machines;
@@ -80,41 +80,40 @@
                                                  .payload = payload});
 }
 
-void rollout_sim_pay_control(struct machine_sim *machine, uint64_t bytes)
+void rollout_sim_charge_control(struct simulated_machine *machine, uint64_t bytes)
 {
-    rollout_sim_use_link(&machine->link, machine->sim->now, bytes);
+    rollout_sim_reserve_link(&machine->link, machine->sim->now, bytes);
     machine->control_bytes += bytes;
 }
 
 /* ---- driver of one machine's swarm ---- */
 
-static uint32_t rollout_content_name(const struct rollout_sim *sim, uint32_t version,
-                                     uint32_t chunk)
+static uint32_t rollout_content_id(const struct rollout_sim *sim, uint32_t version, uint32_t chunk)
 {
     uint32_t shared = (uint32_t)(sim->options.faults.shared * sim->chunk_count);
-    return chunk < shared ? chunk : version << NAME_VERSION_SHIFT | chunk;
+    return chunk < shared ? chunk : version << CONTENT_VERSION_SHIFT | chunk;
 }
 
-uint32_t rollout_sim_chunk_of(uint32_t name)
+uint32_t rollout_sim_chunk_index(uint32_t content_id)
 {
-    return name & ((1U << NAME_VERSION_SHIFT) - 1);
+    return content_id & ((1U << CONTENT_VERSION_SHIFT) - 1);
 }
 
 /* Whether bytes of this name belong to the version that a machine holds or gets. */
-bool rollout_sim_is_wanted(const struct machine_sim *machine, uint32_t name)
+bool rollout_sim_is_wanted(const struct simulated_machine *machine, uint32_t content_id)
 {
-    return rollout_content_name(machine->sim, machine->version, rollout_sim_chunk_of(name)) == name;
+    return rollout_content_id(machine->sim, machine->version,
+                              rollout_sim_chunk_index(content_id)) == content_id;
 }
 
 static void on_fetch(void *context, uint64_t source, uint32_t chunk)
 {
-    struct machine_sim *machine = context;
+    struct simulated_machine *machine = context;
     struct rollout_sim *sim = machine->sim;
     uint32_t from = source == SWARM_ORIGIN ? ORIGIN : find_machine(sim, source)->index;
-    rollout_sim_pay_control(machine, REQUEST_BYTES);
+    rollout_sim_charge_control(machine, REQUEST_BYTES);
     rollout_sim_push(sim, sim->now + rollout_sim_delay(sim, machine->index, from), EVENT_REQUEST,
-                     from, machine->index, rollout_content_name(sim, machine->version, chunk),
-                     NULL);
+                     from, machine->index, rollout_content_id(sim, machine->version, chunk), NULL);
 }
 
 static void on_cancel(void *context, uint64_t source, uint32_t chunk)
@@ -124,7 +123,7 @@
 
 static void on_announce(void *context, uint64_t peer, const struct swarm_update *update)
 {
-    struct machine_sim *machine = context;
+    struct simulated_machine *machine = context;
     struct rollout_sim *sim = machine->sim;
     uint32_t to = find_machine(sim, peer)->index;
     size_t set_bytes = update->have_words * sizeof(uint64_t);
@@ -139,8 +138,8 @@
     copy->update.have_new = (uint32_t *)(copy->words + update->have_words);
     if (list_bytes)
         memcpy(copy->words + update->have_words, update->have_new, list_bytes);
-    rollout_sim_pay_control(machine,
-                            UPDATE_BYTES + set_bytes + update->new_count * CHUNK_INDEX_BYTES);
+    rollout_sim_charge_control(machine,
+                               UPDATE_BYTES + set_bytes + update->new_count * CHUNK_INDEX_BYTES);
     rollout_sim_push(sim, sim->now + rollout_sim_delay(sim, machine->index, to), EVENT_UPDATE, to,
                      machine->index, 0, copy);
 }
@@ -150,7 +149,7 @@
     return hash_pair(1, version);
 }
 
-static void create_swarm(struct machine_sim *machine, uint64_t join_delay_us)
+static void create_swarm(struct simulated_machine *machine, uint64_t join_delay_us)
 {
     struct rollout_sim *sim = machine->sim;
     struct swarm_driver driver = {machine, on_fetch, on_cancel, on_announce};
@@ -160,7 +159,7 @@
     machine->swarm = swarm_create(&settings, machine->id, rollout_key(machine->version),
                                   sim->chunk_count, seed, &driver);
     for (uint32_t chunk = 0; chunk < sim->chunk_count; chunk++)
-        if (machine->content[chunk] == rollout_content_name(sim, machine->version, chunk))
+        if (machine->content[chunk] == rollout_content_id(sim, machine->version, chunk))
             swarm_mark_held(machine->swarm, chunk);
 }
 
@@ -171,7 +170,7 @@
     struct member *members = memory_zero(sim->options.machines, sizeof *members);
     uint32_t count = 0;
     for (uint32_t i = 0; i < sim->options.machines; i++) {
-        const struct machine_sim *machine = &sim->machines[i];
+        const struct simulated_machine *machine = &sim->machines[i];
         if (machine->listed)
             members[count++] = (struct member){machine->id, machine->zone, machine->region};
     }
@@ -180,13 +179,13 @@
     return sim->plans[version];
 }
 
-void rollout_sim_empty_content(struct machine_sim *machine)
+void rollout_sim_clear_content(struct simulated_machine *machine)
 {
     for (uint32_t chunk = 0; chunk < machine->sim->chunk_count; chunk++)
         machine->content[chunk] = NO_CONTENT;
 }
 
-void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_delay_us)
+void rollout_sim_start_machine(struct simulated_machine *machine, uint64_t join_delay_us)
 {
     struct rollout_sim *sim = machine->sim;
     create_swarm(machine, join_delay_us);
@@ -199,24 +198,24 @@
 /* ---- serving ---- */
 
 /* The checker's own account: every place holds the right bytes of one version, the newest. */
-void rollout_sim_check_load(struct machine_sim *machine)
+void rollout_sim_check_load(struct simulated_machine *machine)
 {
     struct rollout_sim *sim = machine->sim;
     bool whole = true;
     for (uint32_t chunk = 0; chunk < sim->chunk_count; chunk++)
-        whole = whole && machine->content[chunk] == rollout_content_name(sim, sim->newest, chunk);
+        whole = whole && machine->content[chunk] == rollout_content_id(sim, sim->newest, chunk);
     if (!whole)
         sim->result.violations++;
 }
 
-static bool ready_to_load(const struct machine_sim *machine)
+static bool ready_to_load(const struct simulated_machine *machine)
 {
     if (machine->sim->options.mutation == ROLLOUT_MUTATION_LOAD_EARLY)
         return swarm_held_count(machine->swarm) + 1 >= machine->sim->chunk_count;
     return swarm_complete(machine->swarm);
 }
 
-void rollout_sim_serve_when_complete(struct machine_sim *machine)
+void rollout_sim_serve_when_complete(struct simulated_machine *machine)
 {
     struct rollout_sim *sim = machine->sim;
     if (machine->serves || machine->version != sim->newest || !ready_to_load(machine))
@@ -227,7 +226,7 @@
     sim->serve_times[sim->serve_count++] = sim->now;
 }
 
-void rollout_sim_stop_serving(struct machine_sim *machine)
+void rollout_sim_stop_serving(struct simulated_machine *machine)
 {
     if (machine->serves)
         machine->sim->serving--;
--- a/src/sim/rollout/rollout_sim.c
+++ b/src/sim/rollout/rollout_sim.c
@@ -88,7 +88,7 @@
     sim->machines = memory_zero(options->machines, sizeof *sim->machines);
     sim->serve_times = memory_zero(options->machines + 1, sizeof *sim->serve_times);
     for (uint32_t i = 0; i < options->machines; i++) {
-        struct machine_sim *machine = &sim->machines[i];
+        struct simulated_machine *machine = &sim->machines[i];
         machine->sim = sim;
         machine->id = ids[i];
         machine->index = i;
@@ -96,9 +96,9 @@
         machine->region = (uint16_t)(machine->zone % options->regions);
         machine->alive = true;
         machine->listed = true;
-        machine->link.nanoseconds_per_byte = NANOSECOND / rollout_machine_rate(options);
+        machine->link.nanoseconds_per_byte = NANOSECONDS_PER_SECOND / rollout_machine_rate(options);
         machine->content = memory_zero(sim->chunk_count, sizeof *machine->content);
-        rollout_sim_empty_content(machine);
+        rollout_sim_clear_content(machine);
     }
     free(ids);
 }
@@ -114,11 +114,11 @@
     case EVENT_REQUEST:
         rollout_sim_on_request(sim, event);
         break;
-    case EVENT_DELIVER:
-        rollout_sim_on_deliver(sim, event);
+    case EVENT_LINK_ARRIVAL:
+        rollout_sim_on_link_arrival(sim, event);
         break;
-    case EVENT_ARRIVE:
-        rollout_sim_on_arrive(sim, event);
+    case EVENT_CHUNK_RECEIVED:
+        rollout_sim_on_chunk_received(sim, event);
         break;
     case EVENT_REFUSE:
         rollout_sim_on_refuse(sim, event);
@@ -132,8 +132,8 @@
     case EVENT_RESTART:
         rollout_sim_kill_machine(sim, event, true);
         break;
-    case EVENT_RETURN:
-        rollout_sim_on_return(sim, event);
+    case EVENT_REJOIN:
+        rollout_sim_on_rejoin(sim, event);
         break;
     case EVENT_STALL:
         rollout_sim_stall_machine(sim, event);
@@ -141,11 +141,11 @@
     case EVENT_PAUSE:
         sim->machines[event->to].paused_until = sim->now + rollout_sim_pause_length(sim);
         break;
-    case EVENT_CHANGE:
-        rollout_sim_on_change(sim, event);
+    case EVENT_NEW_VERSION:
+        rollout_sim_on_new_version(sim, event);
         break;
-    case EVENT_LIST:
-        rollout_sim_on_list(sim);
+    case EVENT_LIST_UPDATE:
+        rollout_sim_on_list_update(sim);
         break;
     case EVENT_ORIGIN_DOWN:
         sim->origin_down = true;
@@ -153,14 +153,14 @@
     case EVENT_ORIGIN_UP:
         sim->origin_down = false;
         break;
-    case EVENT_PART:
-        sim->parted = true;
+    case EVENT_PARTITION:
+        sim->partitioned = true;
         break;
     case EVENT_HEAL:
-        sim->parted = false;
+        sim->partitioned = false;
         break;
-    case EVENT_FEED:
-        rollout_sim_feed(sim);
+    case EVENT_ORIGIN_SEND:
+        rollout_sim_send_from_origin(sim);
         break;
     }
 }
@@ -177,7 +177,7 @@
 {
     const struct rollout_faults *faults = &sim->options.faults;
     bool any = faults->die > 0 || faults->restart > 0 || faults->stall > 0 || faults->pause > 0 ||
-               faults->change > 0 || faults->part > 0 || faults->origin_down > 0;
+               faults->change > 0 || faults->partition > 0 || faults->origin_down > 0;
     double end = sim->options.window_seconds + RESTART_SECONDS + CONFIG_SPREAD_SECONDS;
     return !any || sim->now > rollout_sim_seconds(end);
 }
@@ -190,7 +190,7 @@
     while (event_queue_pop(&sim->queue, &event)) {
         sim->now = event.time;
         sim->result.events++;
-        if (rollout_sim_put_off(sim, &event) || rollout_sim_shuffle(sim, &event))
+        if (rollout_sim_defer(sim, &event) || rollout_sim_delay_or_duplicate(sim, &event))
             continue;
         handle(sim, &event);
         free(event.payload);
@@ -208,22 +208,23 @@
     sim->result.reason = "nothing more happens";
 }
 
-static void sum_up(struct rollout_sim *sim)
+static void summarize(struct rollout_sim *sim)
 {
     struct rollout_result *result = &sim->result;
     uint64_t control = 0;
     uint64_t greatest = 0;
-    double elapsed = (double)sim->now / NANOSECOND;
+    double elapsed = (double)sim->now / NANOSECONDS_PER_SECOND;
     result->survivors = count_survivors(sim);
     result->serving = sim->serving;
     result->lower_bound_seconds = rollout_lower_bound(&sim->options);
     if (sim->serve_count)
         result->time_to_half_seconds =
-            (double)sim->serve_times[(sim->serve_count - 1) / 2] / NANOSECOND;
+            (double)sim->serve_times[(sim->serve_count - 1) / 2] / NANOSECONDS_PER_SECOND;
     if (result->finished && sim->serve_count)
-        result->time_to_n_seconds = (double)sim->serve_times[sim->serve_count - 1] / NANOSECOND;
+        result->time_to_n_seconds =
+            (double)sim->serve_times[sim->serve_count - 1] / NANOSECONDS_PER_SECOND;
     for (uint32_t i = 0; i < sim->options.machines; i++) {
-        const struct machine_sim *machine = &sim->machines[i];
+        const struct simulated_machine *machine = &sim->machines[i];
         control += machine->control_bytes;
         greatest = machine->control_bytes > greatest ? machine->control_bytes : greatest;
         if (machine->swarm) {
@@ -234,7 +235,7 @@
     if (elapsed > 0) {
         result->control_bytes_per_machine_per_second =
             (double)control / sim->options.machines / elapsed;
-        result->greatest_control_bytes_per_second = (double)greatest / elapsed;
+        result->max_control_bytes_per_second = (double)greatest / elapsed;
     }
 }
 
@@ -243,17 +244,17 @@
     struct rollout_sim sim = {.options = *options, .random = {.seed = options->seed}};
     sim.result.reason = "";
     sim.chunk_count = (uint32_t)((options->model_bytes - 1) / options->chunk_bytes + 1);
-    sim.origin.nanoseconds_per_byte = NANOSECOND / rollout_origin_rate(options);
+    sim.origin.nanoseconds_per_byte = NANOSECONDS_PER_SECOND / rollout_origin_rate(options);
     create_machines(&sim);
     if (options->strategy == STRATEGY_SWARM) {
         rollout_sim_schedule_faults(&sim);
         for (uint32_t i = 0; i < options->machines; i++)
             rollout_sim_start_machine(&sim.machines[i], 0);
     } else {
-        rollout_sim_push(&sim, 0, EVENT_FEED, 0, 0, 0, NULL);
+        rollout_sim_push(&sim, 0, EVENT_ORIGIN_SEND, 0, 0, 0, NULL);
     }
     run(&sim);
-    sum_up(&sim);
+    summarize(&sim);
     for (uint32_t i = 0; i < options->machines; i++) {
         swarm_destroy(sim.machines[i].swarm);
         free(sim.machines[i].content);
--- a/src/sim/rollout/rollout_sim.h
+++ b/src/sim/rollout/rollout_sim.h
@@ -33,7 +33,7 @@
     double origin_down; /**< the origin is down for this long, from a random moment */
     double change;      /**< the version changes at this time; 0: it does not */
     double shared;      /**< chunks that the new version shares with the old one */
-    double part;        /**< regions are parted for this long, from a random moment */
+    double partition;   /**< regions are parted for this long, from a random moment */
 };
 
 /** A rule left out on purpose, so that tests see the checker turn red. */
@@ -79,7 +79,7 @@
     uint64_t events;
     uint64_t violations; /**< partial or mixed versions loaded; must be 0 */
     double control_bytes_per_machine_per_second;
-    double greatest_control_bytes_per_second; /**< of one machine */
+    double max_control_bytes_per_second; /**< of one machine */
 };
 
 /** \brief Defaults: 300 machines, 3 regions of 2 zones, 2,200 chunks, a window of 300 s. */
--- a/src/sim/rollout/rollout_world.h
+++ b/src/sim/rollout/rollout_world.h
@@ -9,33 +9,33 @@
 #include "sim/event_queue.h"
 #include "sim/rollout/rollout_sim.h"
 
-#define NANOSECOND 1e9
+#define NANOSECONDS_PER_SECOND 1e9
 #define ORIGIN UINT32_MAX
 #define REQUEST_BYTES 180 /* an HTTP request for a chunk and the head of its answer */
 #define UPDATE_BYTES 90   /* an update without have-sets */
 #define RESTART_SECONDS 5.0
 #define CONFIG_SPREAD_SECONDS 2.0 /* a new configuration reaches machines within this time */
-#define NAME_VERSION_SHIFT 20
+#define CONTENT_VERSION_SHIFT 20
 
 enum event_type {
-    EVENT_TICK,    /* of machine `to` */
-    EVENT_REQUEST, /* `from` asks `to` for chunk `number` */
-    EVENT_DELIVER, /* the last byte reaches the link of `to` */
-    EVENT_ARRIVE,  /* the chunk is through the link of `to` */
-    EVENT_REFUSE,  /* `from` refused `to`; payload tells why */
-    EVENT_UPDATE,  /* payload is a copy of an update */
+    EVENT_TICK,           /* of machine `to` */
+    EVENT_REQUEST,        /* `from` asks `to` for chunk `number` */
+    EVENT_LINK_ARRIVAL,   /* the last byte reaches the link of `to` */
+    EVENT_CHUNK_RECEIVED, /* the chunk is through the link of `to` */
+    EVENT_REFUSE,         /* `from` refused `to`; payload tells why */
+    EVENT_UPDATE,         /* payload is a copy of an update */
     EVENT_DIE,
     EVENT_RESTART, /* `to` dies and comes back empty */
-    EVENT_RETURN,
+    EVENT_REJOIN,
     EVENT_STALL,
     EVENT_PAUSE,
-    EVENT_CHANGE, /* `to` learns of the new version */
-    EVENT_LIST,   /* the machine list shows who is dead */
+    EVENT_NEW_VERSION, /* `to` learns of the new version */
+    EVENT_LIST_UPDATE, /* the machine list shows who is dead */
     EVENT_ORIGIN_DOWN,
     EVENT_ORIGIN_UP,
-    EVENT_PART,
+    EVENT_PARTITION,
     EVENT_HEAL,
-    EVENT_FEED, /* the origin sends the next chunk (baselines) */
+    EVENT_ORIGIN_SEND, /* the origin sends the next chunk (baselines) */
 };
 
 /*
@@ -59,7 +59,7 @@
     double nanoseconds_per_byte;
 };
 
-struct machine_sim {
+struct simulated_machine {
     struct rollout_sim *sim;
     struct link link;
     struct swarm *swarm;
@@ -74,9 +74,9 @@
     bool alive;
     bool stalled;
     bool listed;
-    bool serves;       /* the newest version */
-    uint32_t held;     /* chunks, of the baselines only */
-    uint32_t *content; /* name of the bytes at each place: the checker's own account */
+    bool serves;          /* the newest version */
+    uint32_t held_chunks; /* chunks, of the baselines only */
+    uint32_t *content;    /* name of the bytes at each place: the checker's own account */
     uint64_t control_bytes;
 };
 
@@ -86,56 +86,56 @@
     struct random_stream random;
     uint64_t now; /* nanoseconds */
     uint32_t chunk_count;
-    struct machine_sim *machines;
+    struct simulated_machine *machines;
     struct link origin;
     bool origin_down;
-    bool parted;
+    bool partitioned;
     struct swarm_plan *plans[2]; /* by version */
     uint32_t newest;
     uint32_t serving;
     uint64_t *serve_times; /* sorted by nature of time */
     uint32_t serve_count;
-    uint32_t feed_machine;
-    uint32_t feed_chunk;
+    uint32_t next_receiver;
+    uint32_t next_origin_chunk;
     struct rollout_result result;
 };
 
 /* rollout_machines.c */
 uint64_t rollout_sim_chunk_length(const struct rollout_sim *sim, uint32_t chunk);
-void rollout_sim_pay_control(struct machine_sim *machine, uint64_t bytes);
+void rollout_sim_charge_control(struct simulated_machine *machine, uint64_t bytes);
 uint64_t rollout_sim_seconds(double value);
-uint64_t rollout_sim_use_link(struct link *link, uint64_t now, uint64_t bytes);
+uint64_t rollout_sim_reserve_link(struct link *link, uint64_t now, uint64_t bytes);
 uint64_t rollout_sim_delay(const struct rollout_sim *sim, uint32_t left, uint32_t right);
 bool rollout_sim_reachable(const struct rollout_sim *sim, uint32_t left, uint32_t right);
 void rollout_sim_push(struct rollout_sim *sim, uint64_t time, enum event_type type, uint32_t to,
                       uint32_t from, uint32_t number, void *payload);
-uint32_t rollout_sim_chunk_of(uint32_t name);
-bool rollout_sim_is_wanted(const struct machine_sim *machine, uint32_t name);
-void rollout_sim_start_machine(struct machine_sim *machine, uint64_t join_delay_us);
-void rollout_sim_stop_serving(struct machine_sim *machine);
-void rollout_sim_serve_when_complete(struct machine_sim *machine);
-void rollout_sim_check_load(struct machine_sim *machine);
+uint32_t rollout_sim_chunk_index(uint32_t content_id);
+bool rollout_sim_is_wanted(const struct simulated_machine *machine, uint32_t content_id);
+void rollout_sim_start_machine(struct simulated_machine *machine, uint64_t join_delay_us);
+void rollout_sim_stop_serving(struct simulated_machine *machine);
+void rollout_sim_serve_when_complete(struct simulated_machine *machine);
+void rollout_sim_check_load(struct simulated_machine *machine);
 struct swarm_plan *rollout_sim_plan(struct rollout_sim *sim, uint32_t version);
-void rollout_sim_empty_content(struct machine_sim *machine);
+void rollout_sim_clear_content(struct simulated_machine *machine);
 
 /* rollout_transfers.c */
-void rollout_sim_feed(struct rollout_sim *sim);
+void rollout_sim_send_from_origin(struct rollout_sim *sim);
 void rollout_sim_on_update(struct rollout_sim *sim, const struct event *event);
 void rollout_sim_on_refuse(struct rollout_sim *sim, const struct event *event);
-void rollout_sim_on_arrive(struct rollout_sim *sim, const struct event *event);
-void rollout_sim_on_deliver(struct rollout_sim *sim, const struct event *event);
+void rollout_sim_on_chunk_received(struct rollout_sim *sim, const struct event *event);
+void rollout_sim_on_link_arrival(struct rollout_sim *sim, const struct event *event);
 void rollout_sim_on_request(struct rollout_sim *sim, const struct event *event);
 void rollout_sim_on_tick(struct rollout_sim *sim, const struct event *event);
 
 /* rollout_faults.c */
 void rollout_sim_schedule_faults(struct rollout_sim *sim);
-bool rollout_sim_put_off(struct rollout_sim *sim, const struct event *event);
-bool rollout_sim_shuffle(struct rollout_sim *sim, const struct event *event);
+bool rollout_sim_defer(struct rollout_sim *sim, const struct event *event);
+bool rollout_sim_delay_or_duplicate(struct rollout_sim *sim, const struct event *event);
 uint64_t rollout_sim_pause_length(struct rollout_sim *sim);
-void rollout_sim_on_return(struct rollout_sim *sim, const struct event *event);
-void rollout_sim_on_list(struct rollout_sim *sim);
+void rollout_sim_on_rejoin(struct rollout_sim *sim, const struct event *event);
+void rollout_sim_on_list_update(struct rollout_sim *sim);
 void rollout_sim_stall_machine(struct rollout_sim *sim, const struct event *event);
-void rollout_sim_kill_machine(struct rollout_sim *sim, const struct event *event, bool returns);
-void rollout_sim_on_change(struct rollout_sim *sim, const struct event *event);
+void rollout_sim_kill_machine(struct rollout_sim *sim, const struct event *event, bool rejoins);
+void rollout_sim_on_new_version(struct rollout_sim *sim, const struct event *event);
 
 #endif
--- a/src/sim/scenario_run.c
+++ b/src/sim/scenario_run.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEAD_FORMAT                                                                                \
+#define HEADER_FORMAT                                                                              \
     "shuntrun-session scenario=%s fleet=%s seed=%" PRIu64 " mutation=%s keep-faults=%" PRIx64 "\n"
 #define LINE_SIZE 512
 
@@ -76,7 +76,7 @@
     double goodput; /* sum of the runs' */
     struct histogram latency;
     uint64_t peak_platform_calls;
-    double greatest_control;
+    double peak_control_bytes;
 };
 
 static void add_result(struct totals *totals, const struct fleet_sim_options *options,
@@ -101,21 +101,21 @@
     totals->events += result->events;
     if (result->peak_platform_calls > totals->peak_platform_calls)
         totals->peak_platform_calls = result->peak_platform_calls;
-    if (result->control_bytes_per_node_per_second > totals->greatest_control)
-        totals->greatest_control = result->control_bytes_per_node_per_second;
+    if (result->control_bytes_per_node_per_second > totals->peak_control_bytes)
+        totals->peak_control_bytes = result->control_bytes_per_node_per_second;
 }
 
-static void explain_failure(const struct scenario_run *run, const struct fleet_sim_options *options,
-                            const struct fleet_sim_result *result)
+static void report_failure(const struct scenario_run *run, const struct fleet_sim_options *options,
+                           const struct fleet_sim_result *result)
 {
-    uint64_t kept = fleet_shrink(options);
+    uint64_t needed_faults = fleet_shrink(options);
     struct fleet_sim_options smaller = *options;
-    smaller.enabled_faults = kept;
+    smaller.enabled_faults = needed_faults;
     struct fleet_sim_result shortest = fleet_simulate(&smaller);
     fprintf(stderr, "%s seed %" PRIu64 ": %" PRIu64 " violations; these faults suffice:\n",
             options->scenario->name, options->seed, result->violation_count);
     for (uint32_t i = 0; i < shortest.fault_count; i++)
-        if (kept >> i & 1)
+        if (needed_faults >> i & 1)
             fprintf(stderr, "  %.6f s: %s, machine or zone %u, for %.3f s\n",
                     (double)shortest.faults[i].at / 1e6, fleet_fault_name(shortest.faults[i].kind),
                     shortest.faults[i].machine, (double)shortest.faults[i].duration / 1e6);
@@ -126,7 +126,7 @@
             "  again: shuntrun simulate --scenario %s --seeds %" PRIu64 "..%" PRIu64
             " --fleet %s --mutation %s --keep-faults 0x%" PRIx64 " --record FILE\n",
             options->scenario->name, options->seed, options->seed, run->fleet,
-            fleet_mutation_name(options->mutation), kept);
+            fleet_mutation_name(options->mutation), needed_faults);
 }
 
 static double quantile_ms(const struct totals *totals, double share)
@@ -156,7 +156,7 @@
                      quantile_ms(totals, 0.5), "p95_ms", quantile_ms(totals, 0.95), "p99_ms",
                      quantile_ms(totals, 0.99), "greatest_platform_calls_per_second",
                      (json_int_t)totals->peak_platform_calls,
-                     "greatest_control_bytes_per_node_per_second", totals->greatest_control);
+                     "greatest_control_bytes_per_node_per_second", totals->peak_control_bytes);
 }
 
 static void print_totals(const char *scenario, const struct totals *totals)
@@ -167,7 +167,7 @@
            " calls/s; control at most %.0f B/s a node\n",
            scenario, totals->runs, totals->failed, totals->faults, totals->submitted, totals->done,
            totals->not_run, totals->unknown, totals->broken, totals->replayed,
-           totals->peak_platform_calls, totals->greatest_control);
+           totals->peak_platform_calls, totals->peak_control_bytes);
 }
 
 static enum status run_scenario(const struct scenario_run *run, const char *scenario,
@@ -182,7 +182,7 @@
         struct fleet_sim_result result = fleet_simulate(&options);
         add_result(totals, &options, &result);
         if (result.violation_count && !explained)
-            explain_failure(run, &options, &result);
+            report_failure(run, &options, &result);
         explained = explained || result.violation_count;
     }
     return STATUS_OK;
@@ -251,7 +251,7 @@
     if (scenario_options(run, scenario, seed, &options) != STATUS_OK)
         abort(); /* names were checked by the caller */
     options.trace = stream;
-    fprintf(stream, HEAD_FORMAT, scenario, run->fleet, seed, fleet_mutation_name(run->mutation),
+    fprintf(stream, HEADER_FORMAT, scenario, run->fleet, seed, fleet_mutation_name(run->mutation),
             run->enabled_faults);
     struct fleet_sim_result result = fleet_simulate(&options);
     fprintf(stream,
@@ -276,14 +276,14 @@
     return false;
 }
 
-struct session_head {
+struct session_header {
     char scenario[64];
     char fleet[32];
     char mutation[32];
     struct scenario_run run;
 };
 
-static bool read_head(FILE *stream, struct session_head *head)
+static bool read_header(FILE *stream, struct session_header *header)
 {
     char line[LINE_SIZE];
     if (!fgets(line, sizeof line, stream))
@@ -291,12 +291,12 @@
     int fields = sscanf(line,
                         "shuntrun-session scenario=%63s fleet=%31s seed=%" SCNu64
                         " mutation=%31s keep-faults=%" SCNx64,
-                        head->scenario, head->fleet, &head->run.first_seed, head->mutation,
-                        &head->run.enabled_faults);
+                        header->scenario, header->fleet, &header->run.first_seed, header->mutation,
+                        &header->run.enabled_faults);
     struct fleet_sim_options options;
-    head->run.fleet = head->fleet;
-    return fields == 5 && parse_mutation(head->mutation, &head->run.mutation) &&
-           scenario_options(&head->run, head->scenario, head->run.first_seed, &options) ==
+    header->run.fleet = header->fleet;
+    return fields == 5 && parse_mutation(header->mutation, &header->run.mutation) &&
+           scenario_options(&header->run, header->scenario, header->run.first_seed, &options) ==
                STATUS_OK;
 }
 
@@ -320,15 +320,15 @@
 
 static int replay_stream(FILE *recorded, bool print)
 {
-    struct session_head head = {{0}, {0}, {0}, {0}};
-    if (!read_head(recorded, &head)) {
+    struct session_header header = {{0}, {0}, {0}, {0}};
+    if (!read_header(recorded, &header)) {
         fputs("line 1: not a recorded session\n", stderr);
         return 2;
     }
     char *text = NULL;
     size_t size = 0;
     FILE *again = open_memstream(&text, &size);
-    scenario_record(&head.run, head.scenario, head.run.first_seed, again);
+    scenario_record(&header.run, header.scenario, header.run.first_seed, again);
     fclose(again);
     if (print)
         fwrite(text, 1, size, stdout);
--- a/src/sim/simulate.c
+++ b/src/sim/simulate.c
@@ -114,11 +114,11 @@
     return value;
 }
 
-static uint64_t parse_count(const char *text, uint64_t most, struct argp_state *state)
+static uint64_t parse_count(const char *text, uint64_t maximum, struct argp_state *state)
 {
     double value = parse_positive(text, state);
-    if (value > (double)most || value != (double)(uint64_t)value)
-        argp_error(state, "`%s` is no whole number from 1 to %" PRIu64, text, most);
+    if (value > (double)maximum || value != (double)(uint64_t)value)
+        argp_error(state, "`%s` is no whole number from 1 to %" PRIu64, text, maximum);
     return (uint64_t)value;
 }
 
@@ -145,7 +145,7 @@
                  {"origin-down", &faults->origin_down},
                  {"change", &faults->change},
                  {"shared", &faults->shared},
-                 {"part", &faults->part}};
+                 {"part", &faults->partition}};
     char *next;
     for (char *item = strtok_r(text, ",", &next); item; item = strtok_r(NULL, ",", &next)) {
         char *equals = strchr(item, '=');
@@ -313,7 +313,7 @@
     return 0;
 }
 
-static void settle_swarm(struct simulate_options *options)
+static void apply_swarm_overrides(struct simulate_options *options)
 {
     struct swarm_settings *swarm = &options->rollout.swarm;
     *swarm = rollout_swarm_settings(&options->rollout);
@@ -353,8 +353,8 @@
         "model_bytes", (json_int_t)options->model_bytes, "chunks_rejected",
         (json_int_t)result->chunks_rejected, "control_bytes_per_machine_per_second",
         result->control_bytes_per_machine_per_second, "greatest_control_bytes_per_second",
-        result->greatest_control_bytes_per_second, "timeouts", (json_int_t)result->timeouts,
-        "refusals", (json_int_t)result->refusals, "events", (json_int_t)result->events, "survivors",
+        result->max_control_bytes_per_second, "timeouts", (json_int_t)result->timeouts, "refusals",
+        (json_int_t)result->refusals, "events", (json_int_t)result->events, "survivors",
         result->survivors, "serving", result->serving, "violations", (json_int_t)result->violations,
         "finished", result->finished, "reason", result->reason);
     char *text = json_dumps(report, JSON_INDENT(2) | JSON_REAL_PRECISION(9));
@@ -381,7 +381,7 @@
            (double)result->peer_bytes / (double)options->model_bytes, result->chunks_rejected);
     printf("control %.0f bytes/s a machine (greatest %.0f), %" PRIu64 " timeouts, %" PRIu64
            " refusals, %" PRIu64 " events, %" PRIu64 " violations\n",
-           result->control_bytes_per_machine_per_second, result->greatest_control_bytes_per_second,
+           result->control_bytes_per_machine_per_second, result->max_control_bytes_per_second,
            result->timeouts, result->refusals, result->events, result->violations);
 }
 
@@ -411,7 +411,7 @@
         print_wall_time(started);
         return exit_status;
     }
-    settle_swarm(&options);
+    apply_swarm_overrides(&options);
     struct rollout_result result = rollout_simulate(&options.rollout);
     print_wall_time(started);
     if (options.json)
--- a/tests/sim/rollout/rollout_sim_test.c
+++ b/tests/sim/rollout/rollout_sim_test.c
@@ -40,7 +40,7 @@
     assert_true(result.time_to_n_seconds >= 0.99 * result.lower_bound_seconds);
 }
 
-static void baselines_are_slower_or_read_more(void **state)
+static void baselines_are_slower_or_read_more_from_the_origin(void **state)
 {
     struct rollout_options options = small_fleet();
     options.limit_windows = 1000;
@@ -55,7 +55,7 @@
     assert_true(rollout_simulate(&options).time_to_n_seconds > 3 * swarm);
 }
 
-static void expect_all_survivors_serve(const struct rollout_faults *faults, double most_copies)
+static void expect_all_survivors_serve(const struct rollout_faults *faults, double max_copies)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct rollout_options options = small_fleet();
@@ -65,11 +65,11 @@
         assert_true(result.finished);
         assert_int_equal(result.serving, result.survivors);
         assert_int_equal(result.violations, 0);
-        assert_true(origin_copies(&result, &options) <= most_copies);
+        assert_true(origin_copies(&result, &options) <= max_copies);
     }
 }
 
-static void every_fault_is_outlived(void **state)
+static void all_survivors_serve_under_every_fault(void **state)
 {
     expect_all_survivors_serve(&(struct rollout_faults){.die = 0.1}, 1.3);
     expect_all_survivors_serve(&(struct rollout_faults){.stall = 0.1}, 1.3);
@@ -78,7 +78,7 @@
     expect_all_survivors_serve(&(struct rollout_faults){.restart = 0.1}, 1.3);
     expect_all_survivors_serve(&(struct rollout_faults){.pause = 0.2}, 1.3);
     expect_all_survivors_serve(&(struct rollout_faults){.shuffle = 0.1}, 1.3);
-    expect_all_survivors_serve(&(struct rollout_faults){.part = 0.5}, 2.2);
+    expect_all_survivors_serve(&(struct rollout_faults){.partition = 0.5}, 2.2);
     expect_all_survivors_serve(&(struct rollout_faults){.change = 0.5}, 2 * 1.3);
     expect_all_survivors_serve(&(struct rollout_faults){.change = 0.5, .shared = 0.5}, 1.5 * 1.3);
     expect_all_survivors_serve(&(struct rollout_faults){.die = 0.1,
@@ -89,7 +89,7 @@
                                                         .corrupt = 0.01,
                                                         .origin_down = 0.33,
                                                         .change = 0.5,
-                                                        .part = 0.5},
+                                                        .partition = 0.5},
                                2 * 2.2);
 }
 
@@ -122,8 +122,8 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(the_same_arguments_give_the_same_result),
         cmocka_unit_test(one_copy_leaves_the_origin_and_time_is_near_the_bound),
-        cmocka_unit_test(baselines_are_slower_or_read_more),
-        cmocka_unit_test(every_fault_is_outlived),
+        cmocka_unit_test(baselines_are_slower_or_read_more_from_the_origin),
+        cmocka_unit_test(all_survivors_serve_under_every_fault),
         cmocka_unit_test(the_checker_sees_partial_and_mixed_versions),
         cmocka_unit_test(a_rollout_that_cannot_finish_says_so),
     };
