--- a/src/sim/fleet/backend.c
+++ b/src/sim/fleet/backend.c
@@ -1,6 +1,6 @@
 /**
- * Simulated back ends: engines that make tokens, and a plain service whose calls may not repeat.
- * They outlive the agent beside them.
+ * Simulated back ends: engines that generate tokens, and a plain service whose calls must not be
+ * repeated. A back end keeps running when the agent on its machine ends.
  */
 #include "base/memory.h"
 #include "sim/fleet/world.h"
@@ -22,7 +22,7 @@
     world_push(world, LOCAL_DELAY_US, WORLD_BACKEND_ANSWER, run_request->process, 0, 0, progress);
 }
 
-/* The process hands the order to its network: the last moment to find that it is too late. */
+/* Refuses a run whose deadline has passed; this is the last check before it is sent. */
 void backend_send(struct process *process, struct run_request *run_request)
 {
     struct world *world = process->world;
@@ -80,7 +80,7 @@
         world_push(world, STEP_US, WORLD_STEP, event->to, 0, 0, NULL);
 }
 
-/* \return whether the run goes on */
+/* \return whether the run continues */
 static bool step_run(struct world *world, struct run_request *run, uint32_t steps_per_token)
 {
     if (!run->model) {
@@ -120,7 +120,10 @@
             backend->runs[i--] = backend->runs[--backend->run_count];
 }
 
-/* Connections of one process, or of all, break; a plain call that began still takes effect. */
+/*
+ * Closes the connections of one process, or of all with NO_PROCESS. A plain call that has begun
+ * still takes effect.
+ */
 void backend_close_connections(struct world *world, uint32_t machine, uint32_t process, bool notify)
 {
     struct backend *backend = &world->machines[machine].backend;
--- a/src/sim/fleet/callers.c
+++ b/src/sim/fleet/callers.c
@@ -1,6 +1,6 @@
 /**
- * Simulated callers: they ask which gateway to use, keep the answer for its max-age, send requests,
- * check every byte of the answers, and ask again under the same key when they may.
+ * Simulated callers: they look up gateway addresses, cache them for max-age, send requests, check
+ * every byte of the answers, and retry with the same key where a retry is safe.
  */
 #include "base/memory.h"
 #include "core/endpoints.h"
@@ -17,7 +17,7 @@
 #define MAX_TRIES 4
 #define MAX_CONNECTS 8
 #define PLAIN_SHARE 0.4
-#define KEY_SHARE 0.7 /* of plain requests; the others are unrepeatable without a key */
+#define KEY_SHARE 0.7 /* of plain requests; the others have no key and are never retried */
 
 const char *version_digest(uint32_t version, char hex[DIGEST_HEX_SIZE])
 {
@@ -28,7 +28,7 @@
 
 /* ---- addresses ---- */
 
-/* The answer of one gateway's /v1/endpoints, for the plain service. */
+/* Applies what /v1/endpoints of one gateway answers for the plain service. */
 static void apply_endpoints(struct world *world, struct caller_group *group,
                             struct process *gateway)
 {
@@ -76,7 +76,7 @@
         uint32_t machine = group->gateways[random_below(&world->callers, group->gateway_count)];
         struct process *gateway = world_current_process(world, machine);
         if (!gateway)
-            continue; /* refused: nothing was sent */
+            continue; /* connection refused: nothing was sent */
         call->gateway = gateway->index;
         world_push(world, world->options.client_delay_us, WORLD_SUBMIT, gateway->index, 0, number,
                    NULL);
@@ -126,7 +126,7 @@
         world_push(world, (uint64_t)(gap * 1e6) + 1, WORLD_ARRIVAL, 0, 0, 0, NULL);
 }
 
-/* ---- ends ---- */
+/* ---- outcomes ---- */
 
 static void schedule_retry(struct world *world, uint32_t number, uint64_t wait)
 {
@@ -158,7 +158,7 @@
         checker_answered(&world->checker, world->now, call->attempt, call->source);
 }
 
-/* In runs where operators are all that happens, nothing may be cut off. */
+/* In scenarios with operator changes but no failures, no request may be interrupted. */
 static bool has_only_planned_changes(const struct world *world)
 {
     static const char *const names[] = {"stops", "races", "publish", "steady"};
@@ -189,7 +189,7 @@
                               "attempt %" PRIu64 " ended as unknown: %s", call->attempt,
                               response_event->completion.reason ? response_event->completion.reason
                                                                 : "");
-        /* Only a key makes it safe to ask again for what must not run twice. */
+        /* A plain request must not run twice: without a key, a retry is not safe. */
         if (call->model || call->key[0])
             schedule_retry(world, number, wait);
         else
@@ -239,7 +239,7 @@
     const struct response_event *response_event = event->payload;
     struct call *call = &world->calls[event->number];
     if (call->state != CALL_WAITING || call->attempt != response_event->attempt)
-        return; /* the caller has hung up */
+        return; /* the caller has disconnected */
     switch (response_event->kind) {
     case RESPONSE_BEGIN:
         call->begun = true;
@@ -298,7 +298,7 @@
     finish_broken_attempt(world, event->number);
 }
 
-/* ---- the gateway's side of a submission ---- */
+/* ---- submissions at the gateway ---- */
 
 static void on_submission(struct world *world, const struct event *event)
 {
--- a/src/sim/fleet/checker.h
+++ b/src/sim/fleet/checker.h
@@ -1,14 +1,17 @@
 /**
- * The promises as invariants, checked on every event of a simulated fleet. It keeps accounts of
- * its own and shares no code with what it checks.
+ * Checks the invariants of the system on the events of a simulated fleet. The checker keeps its own
+ * records and shares no code with what it checks.
  *
- *  partial     a replica answers with a version that its engine has not loaded whole
- *  answer      a caller gets less than the whole answer, another's, or one of two versions
- *  not-run     an attempt that was said not to have run ran
+ * Violations, by the name of the invariant:
+ *
+ *  partial     a replica answers with a version that its engine has not fully loaded
+ *  answer      a caller gets an incomplete answer, that of another request, or mixed versions
+ *  not-run     an attempt that was reported as not run did run
  *  once        an unrepeatable request ran more than once
- *  leaving     a leaving back end got new work after DRAIN_LIMIT
- *  stop        a planned stop cut off a request
- *  config      a node's configuration went back, or was not in force in time
+ *  leaving     a leaving back end got new work after CHECKER_DRAIN_LIMIT_US
+ *  stop        a planned stop interrupted a request
+ *  config      a node went back to an older configuration, or got one later than
+ *              CHECKER_CONFIG_LIMIT_US after its publication
  */
 #ifndef SHUNTRUN_CHECKER_H
 #define SHUNTRUN_CHECKER_H
@@ -47,7 +50,7 @@
 };
 
 struct checked_request {
-    bool unrepeatable; /**< over all its attempts under one key */
+    bool unrepeatable; /**< may run at most once over all its attempts */
     uint32_t runs;
 };
 
@@ -56,7 +59,7 @@
     uint64_t attempt_count;
     struct checked_request *requests;
     uint64_t request_count;
-    uint64_t *revisions; /**< greatest in force on each machine */
+    uint64_t *revisions; /**< configuration last seen in force on each machine */
     uint32_t machine_count;
     struct violation violations[CHECKER_MAX_VIOLATIONS];
     uint64_t violation_count;
@@ -73,11 +76,11 @@
 /** \return index of the attempt, which travels in the request's body */
 uint64_t checker_add_attempt(struct checker *checker, uint64_t request);
 
-/** \brief A back end began to run an attempt. */
+/** \brief Record that a back end began to run an attempt. */
 void checker_run_started(struct checker *checker, uint64_t now, uint64_t attempt);
-/** \brief A caller was told that an attempt did not run. */
+/** \brief Record that a caller was told that an attempt did not run. */
 void checker_reported_not_run(struct checker *checker, uint64_t now, uint64_t attempt);
-/** \brief A whole answer made by `source` was given for `attempt`. */
+/** \brief Record a complete answer to `attempt` that the run of attempt `source` produced. */
 void checker_answered(struct checker *checker, uint64_t now, uint64_t attempt, uint64_t source);
 /** \param excused the node could not know better: restarted while cut off */
 void checker_revision(struct checker *checker, uint64_t now, uint32_t machine, uint64_t revision,
--- a/src/sim/fleet/fleet_sim.h
+++ b/src/sim/fleet/fleet_sim.h
@@ -1,6 +1,7 @@
 /**
- * A whole fleet on a virtual clock: gateways, agents, back ends, callers and the platform, with the
- * real core (node, router, executor) and its real messages, packed and unpacked on every hop.
+ * Simulates a whole fleet on a virtual clock: gateways, agents, back ends, callers and the
+ * platform. It runs the real core (node, router, executor), whose messages are serialized on every
+ * hop.
  */
 #ifndef SHUNTRUN_FLEET_SIM_H
 #define SHUNTRUN_FLEET_SIM_H
@@ -14,25 +15,25 @@
 #include <stdio.h>
 
 enum fleet_fault_kind {
-    FLEET_KILL,          /**< a process dies; a new one starts after `duration` */
-    FLEET_PAUSE,         /**< a process stands still for `duration` and wakes late */
-    FLEET_ZOMBIE,        /**< it is paused, replaced at once, and wakes after `duration` */
-    FLEET_CUT,           /**< a machine loses all others, both ways */
-    FLEET_CUT_ZONE,      /**< a zone loses the others */
-    FLEET_CUT_OUTWARD,   /**< what a machine sends is lost, what it hears is not */
-    FLEET_SHUFFLE,       /**< messages are reordered and doubled */
+    FLEET_KILL,          /**< a process crashes; a new one starts after `duration` */
+    FLEET_PAUSE,         /**< a process is paused for `duration` and then handles what queued up */
+    FLEET_ZOMBIE,        /**< a paused process is replaced at once and resumes after `duration` */
+    FLEET_CUT,           /**< a machine is partitioned from all others, in both directions */
+    FLEET_CUT_ZONE,      /**< a zone is partitioned from the others */
+    FLEET_CUT_OUTWARD,   /**< messages from a machine are lost, messages to it are not */
+    FLEET_SHUFFLE,       /**< messages are reordered and duplicated */
     FLEET_CONFIG_DOWN,   /**< the configuration service does not answer */
     FLEET_CONFIG_STALE,  /**< it serves an older revision */
     FLEET_LIST_DOWN,     /**< the machine list does not answer */
     FLEET_NEW_VERSION,   /**< the operator publishes a new version of the model */
-    FLEET_MOVE_HOMES,    /**< the operator moves the homes of the plain service */
+    FLEET_MOVE_HOMES,    /**< the operator changes the machines assigned to the plain service */
     FLEET_BAD_CONFIG,    /**< the operator publishes a configuration that must be refused */
-    FLEET_LEAVE,         /**< the machine list says that a machine leaves */
+    FLEET_LEAVE,         /**< the machine list marks a machine as leaving */
     FLEET_STOP,          /**< a planned stop; a new process starts after `duration` */
-    FLEET_BACKEND_STALL, /**< a back end stands still */
-    FLEET_BACKEND_BREAK, /**< a back end breaks the connections of its runs */
-    FLEET_KILL_ZONE,     /**< every process of a zone dies; new ones start after `duration` */
-    FLEET_RESTART_ALL,   /**< every process but the machine's dies and is started again at once */
+    FLEET_BACKEND_STALL, /**< a back end makes no progress */
+    FLEET_BACKEND_BREAK, /**< a back end closes the connections of its runs */
+    FLEET_KILL_ZONE,     /**< every process of a zone crashes; new ones start after `duration` */
+    FLEET_RESTART_ALL,   /**< every process but the machine's crashes and restarts within 0.5 s */
     FLEET_FAULT_KINDS
 };
 
@@ -48,7 +49,7 @@
 struct fleet_scenario {
     const char *name;
     const char *description;
-    const enum fleet_fault_kind *kinds; /**< ended by FLEET_FAULT_KINDS */
+    const enum fleet_fault_kind *kinds; /**< terminated by FLEET_FAULT_KINDS */
     uint32_t min_faults;
     uint32_t max_faults;
 };
@@ -58,17 +59,17 @@
 const struct fleet_scenario *fleet_scenario_find(const char *name);
 const char *fleet_fault_name(enum fleet_fault_kind kind);
 
-/** A rule left out on purpose, so that tests see the checker turn red. */
+/** A rule that is disabled on purpose, to test that the checker detects its absence. */
 enum fleet_mutation {
     FLEET_MUTATION_NONE,
-    FLEET_MUTATION_NO_KEYS,       /**< agents forget which keys ran */
-    FLEET_MUTATION_NO_GUARD,      /**< agents run what comes twice */
-    FLEET_MUTATION_NO_TICKETS,    /**< agents take any ticket */
-    FLEET_MUTATION_NO_DRAIN,      /**< agents take work while draining */
+    FLEET_MUTATION_NO_KEYS,       /**< agents ignore idempotency keys */
+    FLEET_MUTATION_NO_GUARD,      /**< agents run duplicates of a message */
+    FLEET_MUTATION_NO_TICKETS,    /**< agents accept any ticket: incarnations are reused */
+    FLEET_MUTATION_NO_DRAIN,      /**< agents accept work while draining */
     FLEET_MUTATION_NO_REVISION,   /**< nodes accept older revisions */
     FLEET_MUTATION_NO_VERSION,    /**< streams resume on any version */
-    FLEET_MUTATION_EARLY_NOT_RUN, /**< gateways say "not run" for what may have run */
-    FLEET_MUTATION_NO_MATCH,      /**< gateways match answers by arrival, not by id */
+    FLEET_MUTATION_EARLY_NOT_RUN, /**< gateways report "not run" for what may have run */
+    FLEET_MUTATION_NO_MATCH,      /**< gateways match an answer to the newest request, not by id */
     FLEET_MUTATION_HARD_STOP,     /**< a planned stop does not wait */
     FLEET_MUTATION_COUNT
 };
@@ -92,9 +93,9 @@
     bool fenced;              /**< the plain service checks fences */
     uint64_t seed;
     const struct fleet_scenario *scenario;
-    uint64_t enabled_faults; /**< bit N clear: fault N is left out */
+    uint64_t enabled_faults; /**< bit mask: fault N happens when bit N is set */
     enum fleet_mutation mutation;
-    FILE *trace; /**< one line for each event that tells the story; NULL: none */
+    FILE *trace; /**< gets one line for each significant event; NULL: no trace */
 };
 
 struct fleet_sim_result {
@@ -102,10 +103,10 @@
     uint64_t done;
     uint64_t not_run;
     uint64_t unknown;
-    uint64_t broken; /**< connections that ended without a last word */
+    uint64_t broken; /**< attempts that timed out or whose connection closed without an outcome */
     uint64_t replayed;
     uint64_t resumed;
-    uint64_t requests;       /**< logical ones, over their attempts */
+    uint64_t requests;       /**< logical requests, each with one or more attempts */
     uint64_t done_in_time;   /**< model requests done while requests arrived */
     uint64_t large_requests; /**< of the first tenant */
     uint64_t large_done;
@@ -122,13 +123,16 @@
     struct violation violations[CHECKER_MAX_VIOLATIONS];
 };
 
-/** \brief The fleet of the brief: 7 gateways, 12 engines, 4 service agents, 3 zones, 10 tenants. */
+/** \brief The default fleet: 7 gateways, 12 engines, 4 service agents, 3 zones, 10 tenants. */
 struct fleet_sim_options fleet_sim_options_default(void);
 
-/** \brief Run to the end; the same options give the same result and trace. */
+/** \brief Run a simulation to its end; the same options give the same result and trace. */
 struct fleet_sim_result fleet_simulate(const struct fleet_sim_options *options);
 
-/** \brief Leave out faults one by one while the run still fails. \return the mask that is left */
+/**
+ * \brief Disable faults one by one while the run still has violations.
+ * \return mask of the faults that suffice for a violation
+ */
 uint64_t fleet_shrink(const struct fleet_sim_options *options);
 
 #endif
--- a/src/sim/fleet/platform.c
+++ b/src/sim/fleet/platform.c
@@ -1,5 +1,5 @@
 /**
- * The simulated platform: configuration service and machine list, read and watched only.
+ * Simulated platform: the configuration service and the machine list, which nodes read and watch.
  */
 #include "base/memory.h"
 #include "sim/fleet/world.h"
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #define WATCH_US (2 * SECOND)
-#define POLL_US (20 * MILLISECOND) /* how often a waiting watch looks */
+#define POLL_US (20 * MILLISECOND) /* interval at which a watch checks for a new revision */
 #define PLATFORM_DELAY_US (2 * MILLISECOND)
 #define LIST_LAG_US (1 * SECOND)
 #define READ_TIMEOUT_US (1 * SECOND)
@@ -58,7 +58,7 @@
     *size += (size_t)length;
 }
 
-/* Homes of the plain service: all its agents, or all but one. */
+/* Appends the machines assigned to the plain service: all its agents, or all but one. */
 static void append_homes(struct world *world, char **text, size_t *size)
 {
     bool first = true;
@@ -163,7 +163,7 @@
     world_push(world, delay, WORLD_READ_ANSWER, read->process, 0, 0, answer);
 }
 
-/* A cut machine cannot reach the platform either. */
+/* A partitioned machine cannot reach the platform either. */
 static bool platform_unreachable(const struct world *world, const struct platform_document *value,
                                  uint32_t machine)
 {
@@ -203,7 +203,7 @@
     uint64_t revision = answer->revision;
     if (world->options.mutation == FLEET_MUTATION_NO_REVISION && publication &&
         answer->kind == SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG)
-        revision = world->now; /* whatever is read passes for the newest */
+        revision = world->now; /* makes every revision look newer than the last */
     node_on_read(process->node, world->now, answer->kind, answer->result, revision,
                  publication ? publication->body : NULL, publication ? publication->size : 0);
 }
--- a/src/sim/fleet/processes.c
+++ b/src/sim/fleet/processes.c
@@ -1,6 +1,5 @@
 /**
- * Simulated processes: the shells around node, router and executor, as src/gateway and src/agent
- * are for the real ones.
+ * Simulated processes: drivers of node, router and executor, in place of src/gateway and src/agent.
  */
 #include "base/memory.h"
 #include "core/hash.h"
@@ -45,8 +44,8 @@
     platform_read(context, kind, known_revision);
 }
 
-/* Serial of the configuration in force: written into its policy, so that the checker does not
- * depend on revisions. */
+/* Reads the serial number of the configuration in force from a comment in its policy. The checker
+ * uses it because it must not depend on revisions, which it checks. */
 uint64_t process_config_serial(const struct process *process)
 {
     const struct fleet_config *config = node_config(process->node);
@@ -156,7 +155,7 @@
         return ROUTER_NOT_SENT;
     process->newest_sequence[machine % 64] = message->sequence;
     if (!target)
-        return ROUTER_SENT; /* into a connection whose end nobody has noticed */
+        return ROUTER_SENT; /* the loss of the connection has not been detected yet */
     Shuntrun__Envelope envelope = SHUNTRUN__ENVELOPE__INIT;
     envelope.body_case = SHUNTRUN__ENVELOPE__BODY_FORWARD;
     envelope.forward = message;
@@ -193,7 +192,7 @@
     callers_send_response(context, caller, make_response_event(caller, RESPONSE_BEGIN));
 }
 
-/* A piece of an answer may hold many tokens, as a kept answer does. */
+/* The bytes may hold several tokens, as those of a stored answer do. */
 static void send_data(void *context, uint64_t caller, uint64_t offset, uint32_t count,
                       const uint8_t *bytes, size_t size)
 {
@@ -214,7 +213,7 @@
     struct process *process = context;
     struct response_event *response_event = make_response_event(caller, RESPONSE_END);
     response_event->completion = *completion;
-    response_event->completion.reason = ""; /* lives only during the call */
+    response_event->completion.reason = ""; /* the text is valid only during this call */
     response_event->tokens = tokens;
     bool early = process->world->options.mutation == FLEET_MUTATION_EARLY_NOT_RUN;
     if (early && completion->outcome == OUTCOME_UNKNOWN)
@@ -262,7 +261,7 @@
     backend_cancel(context, run);
 }
 
-/* ---- life ---- */
+/* ---- start and stop ---- */
 
 static void create_gateway(struct process *process, uint64_t seed)
 {
@@ -296,7 +295,7 @@
 {
     struct world_machine *machine = &world->machines[number];
     if (world->process_count == world->process_capacity)
-        abort(); /* processes are named by address in drivers: the table must not move */
+        abort(); /* drivers hold pointers into the table, so it cannot be reallocated */
     struct process *process = &world->processes[world->process_count];
     bool reuse = world->options.mutation == FLEET_MUTATION_NO_TICKETS;
     *process = (struct process){.world = world, .index = world->process_count++};
--- a/src/sim/fleet/world.c
+++ b/src/sim/fleet/world.c
@@ -1,5 +1,5 @@
 /**
- * The simulated world: time, network, faults, and the run as a whole.
+ * Virtual time, the network, setup, and the event loop of a simulated fleet.
  */
 #include "sim/fleet/world.h"
 
@@ -18,9 +18,9 @@
 #define JITTER_US 500
 #define SHUFFLE_JITTER_US (60 * MILLISECOND)
 #define DUPLICATE_SHARE 0.2
-#define SETTLE_TIME_US (12 * SECOND) /* the run goes on so long after the last arrival */
+#define SETTLE_TIME_US (12 * SECOND) /* time from the last arrival to the end of the run */
 
-/* ---- services of this file to the others ---- */
+/* ---- functions for the other files ---- */
 
 void world_push(struct world *world, uint64_t delay, enum world_event type, uint32_t to,
                 uint32_t from, uint32_t number, void *payload)
@@ -124,7 +124,7 @@
     world_push(world, delay, type, to, from, 0, packet);
 }
 
-/* ---- setting up ---- */
+/* ---- setup ---- */
 
 struct fleet_sim_options fleet_sim_options_default(void)
 {
@@ -241,7 +241,7 @@
 {
     struct process *process = &world->processes[event->from];
     if (!process->alive || process->loading != event->number)
-        return; /* the order's agent is gone, or wants another version by now */
+        return; /* the agent has ended or loads another version by now */
     world->machines[event->to].backend.loaded = event->number;
     process->loading = 0;
     world_trace(world, "loaded %s v%u", world->machines[event->to].listing.name, event->number);
@@ -299,7 +299,7 @@
     }
 }
 
-/* \return false when the event was put off: its process stands still */
+/* \return false when the event was deferred because its process is paused */
 static bool handle_process_event(struct world *world, const struct event *event)
 {
     struct process *process = &world->processes[event->to];
--- a/src/sim/fleet/world.h
+++ b/src/sim/fleet/world.h
@@ -1,9 +1,9 @@
 /**
  * State of a simulated fleet, shared by the files of src/sim/fleet.
  *
- * A process is one start of a gateway or agent on a machine. A message goes to the process that
- * held the connection when it was sent: when that one is dead it is lost, when it is paused it
- * waits.
+ * A process is one start of a gateway or agent on a machine. A message is addressed to the process
+ * that held the connection when it was sent: it is lost when that process has ended, and queued
+ * while that process is paused.
  */
 #ifndef SHUNTRUN_WORLD_H
 #define SHUNTRUN_WORLD_H
@@ -18,14 +18,14 @@
 
 #define MILLISECOND 1000ULL
 #define SECOND 1000000ULL
-#define FIRST_ARRIVAL_US (9 * SECOND) /* a fleet that starts at once takes so long */
+#define FIRST_ARRIVAL_US (9 * SECOND) /* until a fleet whose processes start together is ready */
 #define NO_PROCESS UINT32_MAX
 #define WORLD_MAX_RUNS 256  /* of one back end */
-#define CALL_NUMBER_BITS 20 /* a router's caller is attempt << these bits | call number */
+#define CALL_NUMBER_BITS 20 /* a caller handle is attempt << CALL_NUMBER_BITS | call number */
 #define WORLD_TOKENS 20     /* of each model answer */
 
-#define PROPAGATION_GRACE_US                                                                       \
-    (3 * SECOND) /* a disturbance excuses late news so long after its end */
+/* A configuration may take effect late for this long after the end of a disturbance. */
+#define PROPAGATION_GRACE_US (3 * SECOND)
 
 enum world_event {
     WORLD_TICK,           /* process `to` */
@@ -34,18 +34,18 @@
     WORLD_ANSWER,         /* to gateway process, from agent machine; payload packet */
     WORLD_READ,           /* at the platform; payload document_read */
     WORLD_READ_ANSWER,    /* to process; payload document_answer */
-    WORLD_SEND_RUN,       /* process `to` sends run `number` to its back end; payload order */
-    WORLD_RUN,            /* the order reaches the back end of machine `to` */
+    WORLD_SEND_RUN,       /* process `to` sends a run to its back end; payload run_request */
+    WORLD_RUN,            /* at the back end of machine `to`; payload run_request */
     WORLD_STEP,           /* the back end of machine `to` makes progress */
     WORLD_BACKEND_ANSWER, /* to process; payload progress */
-    WORLD_LOADED,         /* the engine of machine `to` has version `number` */
-    WORLD_ARRIVAL,        /* a caller's request arrives */
+    WORLD_LOADED,         /* the engine of machine `to` has loaded version `number` */
+    WORLD_ARRIVAL,        /* a caller makes a new request */
     WORLD_SUBMIT,         /* to gateway process; `number` is the call */
     WORLD_ENDPOINTS,      /* caller group `number` asks for addresses */
-    WORLD_RESPONSE,       /* to call `number`; payload news */
-    WORLD_DISCONNECT,     /* to gateway process; the caller of attempt `from` is gone */
+    WORLD_RESPONSE,       /* to call `number`; payload response_event */
+    WORLD_DISCONNECT,     /* to gateway process; the caller of attempt `from` has disconnected */
     WORLD_CALLER_TIMEOUT, /* of call `number` */
-    WORLD_RETRY,          /* call `number` tries again */
+    WORLD_RETRY,          /* of call `number` */
     WORLD_START,          /* start a process on machine `to` */
     WORLD_FAULT,          /* fault `number` begins */
     WORLD_FAULT_END,
@@ -58,7 +58,7 @@
     uint8_t bytes[];
 };
 
-/** One order on its way to a back end, and the run it becomes. */
+/** A request to a back end to run an attempt, and then the state of that run. */
 struct run_request {
     uint32_t process;
     uint64_t run;
@@ -83,7 +83,7 @@
     uint32_t version;
 };
 
-/** A token, or the answer of the plain service, as it travels. */
+/** A token, or the answer of the plain service, as the body of a message. */
 struct answer_piece {
     uint64_t attempt;
     uint32_t version;
@@ -96,8 +96,8 @@
     uint64_t stalled_until;
     struct run_request runs[WORLD_MAX_RUNS];
     uint32_t run_count;
-    uint32_t steps_per_token;    /* steps for one token */
-    uint64_t newest_incarnation; /* of fences */
+    uint32_t steps_per_token;
+    uint64_t newest_incarnation; /* greatest in a fence so far */
 };
 
 struct world_machine {
@@ -107,9 +107,9 @@
     uint32_t process; /* current, or NO_PROCESS */
     uint64_t died_at;
     bool listed_leaving;
-    uint64_t leaving_since; /* its planned stop or listing began; 0: not leaving */
-    bool exempt;            /* cut or paused since: it could not know */
-    uint32_t cuts;          /* cuts in force, both ways */
+    uint64_t leaving_since; /* when it began to stop or was listed as leaving; 0: not leaving */
+    bool exempt;            /* was partitioned or paused, so that it could not learn of changes */
+    uint32_t cuts;          /* faults `cut` in force */
     uint32_t outward_cuts;
     struct backend backend;
 };
@@ -124,8 +124,8 @@
     uint64_t started;
     uint64_t paused_until;
     uint64_t incarnation;
-    uint64_t stop_began; /* planned stop; 0: none */
-    uint64_t loading;    /* version that is being loaded */
+    uint64_t stop_began; /* when its planned stop began; 0: none */
+    uint64_t loading;    /* version that is being loaded; 0: none */
     struct node *node;
     struct router *router;
     struct routing_view *view;
@@ -140,7 +140,7 @@
     uint64_t request;
     uint64_t attempt;
     uint32_t tenant;
-    uint32_t gateway; /* process that has it */
+    uint32_t gateway; /* process that the last attempt was sent to */
     uint32_t attempts_made;
     uint64_t arrived;
     bool model;
@@ -150,7 +150,7 @@
     uint64_t tokens;
     uint32_t version; /* of the first token */
     bool begun;
-    uint64_t source; /* attempt that made the answer */
+    uint64_t source; /* attempt whose run produced the answer */
 };
 
 enum response_event_kind { RESPONSE_BEGIN, RESPONSE_DATA, RESPONSE_END, RESPONSE_CLOSED };
@@ -184,7 +184,7 @@
     uint32_t stale_revision;
 };
 
-/** Callers share the address answer of their group. */
+/** Callers of a group share the gateway addresses that they looked up. */
 #define CALLER_GROUPS 8
 
 struct caller_group {
@@ -220,7 +220,7 @@
     uint32_t home_variant;
     uint32_t zone_cut; /* bit by zone */
     uint64_t shuffle_until;
-    uint64_t disturbed_until; /* until then nodes may be excused from news */
+    uint64_t disturbed_until; /* a configuration published before may take effect late */
     uint64_t call_window;
     uint64_t calls_in_window;
     uint64_t control_bytes;
@@ -237,7 +237,7 @@
 bool world_reachable(const struct world *world, uint32_t from, uint32_t to);
 struct process *world_current_process(struct world *world, uint32_t machine);
 struct world_machine *world_find(struct world *world, uint64_t id);
-/** Deliver a message over a network that may double and reorder it. */
+/** Deliver a message over a network that may lose, duplicate and reorder it. */
 void world_send(struct world *world, enum world_event type, uint32_t from_machine,
                 uint32_t to_machine, uint32_t to, uint32_t from, struct packet *packet);
 
@@ -271,7 +271,7 @@
 void callers_start(struct world *world);
 void callers_handle(struct world *world, const struct event *event);
 void callers_close_connections(struct world *world, uint32_t process);
-/** \param caller attempt and call number, as given to the router */
+/** \param caller caller handle, as given to the router */
 void callers_send_response(struct process *gateway, uint64_t caller,
                            struct response_event *response_event);
 const char *version_digest(uint32_t version, char hex[DIGEST_HEX_SIZE]);
--- a/src/sim/fleet/world_faults.c
+++ b/src/sim/fleet/world_faults.c
@@ -1,5 +1,6 @@
 /**
- * Faults of a simulated fleet: when they strike, what they do, whom they excuse.
+ * Faults of a simulated fleet: their schedule, their effects, and the machines that they exempt
+ * from invariants.
  */
 #include "sim/fleet/world.h"
 
@@ -55,7 +56,7 @@
         process->paused_until = world->now + duration;
 }
 
-/* The frozen process keeps its state; the machine gets a new one at once. */
+/* The paused process keeps its state; the machine starts a new one after 100 ms. */
 static void make_zombie(struct world *world, uint32_t machine, uint64_t duration)
 {
     struct process *process = world_current_process(world, machine);
@@ -75,7 +76,7 @@
         return;
     entry->listed_leaving = true;
     platform_publish_list(world);
-    /* The promise counts from when the platform shows it. */
+    /* The drain limit counts from when the platform shows the new list. */
     entry->leaving_since = world->list.publications[world->list.count - 1].at;
 }
 
@@ -242,6 +243,6 @@
         start_zone(world, fault->machine);
     else if (restarts && machine->process == NO_PROCESS)
         process_start(world, fault->machine);
-    else if (restarts) /* the stop is not over yet */
+    else if (restarts) /* the planned stop has not finished */
         world_push(world, 500 * MILLISECOND, WORLD_FAULT_END, 0, 0, number, NULL);
 }
