--- a/src/sim/fleet/checker.h
+++ b/src/sim/fleet/checker.h
@@ -82,7 +82,10 @@
 void checker_reported_not_run(struct checker *checker, uint64_t now, uint64_t attempt);
 /** \brief Record a complete answer to `attempt` that the run of attempt `source` produced. */
 void checker_answered(struct checker *checker, uint64_t now, uint64_t attempt, uint64_t source);
-/** \param excused the node could not know better: restarted while cut off */
+/**
+ * \brief Record the configuration in force on a machine.
+ * \param exempt the node could not learn of newer ones, e.g. restarted in a partition: may go back
+ */
 void checker_revision(struct checker *checker, uint64_t now, uint32_t machine, uint64_t revision,
                       bool exempt);
 
--- a/src/sim/rollout/rollout_faults.c
+++ b/src/sim/rollout/rollout_faults.c
@@ -1,5 +1,5 @@
 /**
- * Faults of a simulated rollout: when they strike and what they do.
+ * Faults of a simulated rollout: their schedule and their effects.
  */
 #include "sim/rollout/rollout_world.h"
 
@@ -10,11 +10,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_LAG_SECONDS 10.0            /* deaths show in the machine list after so long */
-#define LIST_UPDATE_INTERVAL_SECONDS 5.0 /* and in steps of so long */
+#define LIST_LAG_SECONDS 10.0            /* until the first update of the machine list */
+#define LIST_UPDATE_INTERVAL_SECONDS 5.0 /* between its updates */
 #define PAUSE_MIN_SECONDS 2.0
 #define PAUSE_SPREAD_SECONDS 30.0
-#define MESSAGE_DELAY_MAX_SECONDS 2.0 /* a message comes later by up to so much */
+#define MESSAGE_DELAY_MAX_SECONDS 2.0 /* greatest extra delay of a message */
 
 /* ---- events of faults ---- */
 
@@ -100,7 +100,7 @@
     rollout_sim_stop_serving(machine);
 }
 
-/* A share of the machines, each once and at a random moment of the window. */
+/* Schedules a fault on random machines, a share of all, at random times of the window. */
 static void schedule_on_machines(struct rollout_sim *sim, double share, enum event_type type)
 {
     uint32_t count = (uint32_t)(share * sim->options.machines);
@@ -152,7 +152,7 @@
            type == EVENT_UPDATE;
 }
 
-/* \return whether the event was put off, since its machine stands still */
+/* \return whether the event was deferred because its machine is paused */
 bool rollout_sim_defer(struct rollout_sim *sim, const struct event *event)
 {
     if (event->to == ORIGIN || event->type > EVENT_NEW_VERSION || event->type == EVENT_DIE)
@@ -181,7 +181,7 @@
     return copy;
 }
 
-/* A message is told to come later, or to come a second time. \return whether it is gone for now */
+/* Delays or duplicates a message. \return true when it is delayed and must not be handled now */
 bool rollout_sim_delay_or_duplicate(struct rollout_sim *sim, const struct event *event)
 {
     if (!is_message(event->type) || event->delayed)
--- a/src/sim/rollout/rollout_machines.c
+++ b/src/sim/rollout/rollout_machines.c
@@ -1,5 +1,5 @@
 /**
- * Machines of a simulated rollout: links, the driver of their swarms, what they hold and serve.
+ * Machines of a simulated rollout: links, swarm drivers, the chunks they hold, and serving.
  */
 #include "sim/rollout/rollout_world.h"
 
@@ -45,8 +45,8 @@
     return a->zone != b->zone ? rollout_sim_seconds(sim->options.zone_delay_seconds) : 0;
 }
 
-/* While regions are parted, the origin is with region 0 and each region stands alone... except
- * that the side of the origin is one: regions 1 and up have lost it. */
+/* A partition separates region 0 from all other regions. The origin stays reachable from both
+ * sides. */
 bool rollout_sim_reachable(const struct rollout_sim *sim, uint32_t left, uint32_t right)
 {
     if (!sim->partitioned || left == ORIGIN || right == ORIGIN)
@@ -99,7 +99,7 @@
     return content_id & ((1U << CONTENT_VERSION_SHIFT) - 1);
 }
 
-/* Whether bytes of this name belong to the version that a machine holds or gets. */
+/* Whether a content id belongs to the target version of a machine. */
 bool rollout_sim_is_wanted(const struct simulated_machine *machine, uint32_t content_id)
 {
     return rollout_content_id(machine->sim, machine->version,
@@ -118,7 +118,7 @@
 
 static void on_cancel(void *context, uint64_t source, uint32_t chunk)
 {
-    /* Bytes that are under way arrive all the same: the link has taken them. */
+    /* Bytes in flight still arrive: the links are already reserved for them. */
 }
 
 static void on_announce(void *context, uint64_t peer, const struct swarm_update *update)
@@ -197,7 +197,7 @@
 
 /* ---- serving ---- */
 
-/* The checker's own account: every place holds the right bytes of one version, the newest. */
+/* Checks against `content`, not the swarm, that every chunk is that of the newest version. */
 void rollout_sim_check_load(struct simulated_machine *machine)
 {
     struct rollout_sim *sim = machine->sim;
--- a/src/sim/rollout/rollout_sim.c
+++ b/src/sim/rollout/rollout_sim.c
@@ -1,5 +1,5 @@
 /**
- * Options of a simulated rollout, its events in order of time, and the result.
+ * Options, event loop and result of a simulated rollout.
  */
 #include "sim/rollout/rollout_world.h"
 
@@ -76,7 +76,7 @@
     return origin > links ? origin : links;
 }
 
-/* ---- setting up ---- */
+/* ---- setup ---- */
 
 static void create_machines(struct rollout_sim *sim)
 {
@@ -103,7 +103,7 @@
     free(ids);
 }
 
-/* ---- running ---- */
+/* ---- event loop ---- */
 
 static void handle(struct rollout_sim *sim, const struct event *event)
 {
--- a/src/sim/rollout/rollout_sim.h
+++ b/src/sim/rollout/rollout_sim.h
@@ -1,11 +1,12 @@
 /**
- * A whole rollout of weights on a virtual clock, with the real chunk scheduling of core/swarm.
+ * Simulates a whole rollout of weights on a virtual clock, with the real chunk scheduling of
+ * core/swarm.
  *
- * Links: every machine has one link that is shared for in and out and sends whole chunks first in,
- * first out; both ends of a transfer pay for it, and control messages and chunk requests pay too. A
- * machine moves `machine_copies_per_window` copies in all in the window, the origin gives
- * `origin_copies_per_window`. A chunk is stored by the network between the two links, so one hop
- * takes two chunk times. Delays are added by zone and region.
+ * Links: every machine has one link for both directions, which transfers whole chunks in FIFO
+ * order. A transfer takes time on the links of both ends, and so do control messages and chunk
+ * requests. A machine transfers `machine_copies_per_window` copies in total in a window, the origin
+ * sends `origin_copies_per_window`. The network stores and forwards each chunk, so one hop takes
+ * two chunk times. Delays are added by zone and region.
  */
 #ifndef SHUNTRUN_ROLLOUT_SIM_H
 #define SHUNTRUN_ROLLOUT_SIM_H
@@ -17,30 +18,30 @@
 
 enum rollout_strategy {
     STRATEGY_SWARM,
-    STRATEGY_ORIGIN_ONLY,  /**< everyone reads everything from the origin */
+    STRATEGY_ORIGIN_ONLY,  /**< every machine reads all chunks from the origin */
     STRATEGY_TREE,         /**< a binary tree of whole copies */
-    STRATEGY_CHUNKED_TREE, /**< a binary tree, each chunk passed on at once */
+    STRATEGY_CHUNKED_TREE, /**< a binary tree, each chunk forwarded as soon as it is received */
 };
 
 /** Faults of a run; shares are of machines or transfers, times are shares of the window. */
 struct rollout_faults {
-    double die;         /**< machines that die at random moments and do not come back */
-    double restart;     /**< machines that restart empty at random moments */
-    double stall;       /**< machines whose link stalls at a random moment, for good */
-    double pause;       /**< machines that stand still for a while and wake late */
-    double shuffle;     /**< messages and chunks that come late, half of these twice */
-    double corrupt;     /**< transfers whose bytes arrive wrong */
-    double origin_down; /**< the origin is down for this long, from a random moment */
-    double change;      /**< the version changes at this time; 0: it does not */
+    double die;         /**< machines that crash at random times and do not restart */
+    double restart;     /**< machines that restart at random times and lose their chunks */
+    double stall;       /**< machines whose link stalls at a random time and does not recover */
+    double pause;       /**< machines that are paused for 2 to 32 s */
+    double shuffle;     /**< messages and chunks that are delayed; half of these are duplicated */
+    double corrupt;     /**< transfers whose bytes are corrupted */
+    double origin_down; /**< length of an outage of the origin at a random time */
+    double change;      /**< time at which a new version is published; 0: never */
     double shared;      /**< chunks that the new version shares with the old one */
-    double partition;   /**< regions are parted for this long, from a random moment */
+    double partition;   /**< length of a partition between regions at a random time */
 };
 
-/** A rule left out on purpose, so that tests see the checker turn red. */
+/** A rule that is disabled on purpose, to test that the checker detects its absence. */
 enum rollout_mutation {
     ROLLOUT_MUTATION_NONE,
-    ROLLOUT_MUTATION_IGNORE_DIGEST, /**< take any bytes for the chunk that was asked for */
-    ROLLOUT_MUTATION_LOAD_EARLY,    /**< load one chunk before the last */
+    ROLLOUT_MUTATION_IGNORE_DIGEST, /**< accept any bytes as the requested chunk */
+    ROLLOUT_MUTATION_LOAD_EARLY,    /**< load with one chunk missing */
 };
 
 struct rollout_options {
@@ -59,7 +60,7 @@
     struct rollout_faults faults;
     struct swarm_settings swarm;
     enum rollout_mutation mutation;
-    double limit_windows; /**< the run is given up after so many windows */
+    double limit_windows; /**< time limit of the run, in windows */
 };
 
 struct rollout_result {
@@ -77,23 +78,24 @@
     uint64_t timeouts;
     uint64_t refusals;
     uint64_t events;
-    uint64_t violations; /**< partial or mixed versions loaded; must be 0 */
+    uint64_t violations; /**< loads of partial or mixed versions; must be 0 */
     double control_bytes_per_machine_per_second;
-    double max_control_bytes_per_second; /**< of one machine */
+    double max_control_bytes_per_second; /**< of the machine with the most */
 };
 
 /** \brief Defaults: 300 machines, 3 regions of 2 zones, 2,200 chunks, a window of 300 s. */
 struct rollout_options rollout_options_default(void);
 
-/** \brief Settings of the chunk scheduling that fit the links of `options`. */
+/** \brief Settings of the chunk scheduling, derived from the link rates of `options`. */
 struct swarm_settings rollout_swarm_settings(const struct rollout_options *options);
 
-/** \brief Run to the end; the same options give the same result. */
+/** \brief Run a simulation to its end; the same options give the same result. */
 struct rollout_result rollout_simulate(const struct rollout_options *options);
 
 /**
- * \brief The bound that no schedule beats: the greater of one copy through the origin's link and
- *        (2N - K) copies over N machine links, K being the origin's budget.
+ * \brief Lower bound on the time of any schedule, in seconds: the greater of the time of one copy
+ *        on the origin's link and of (2N - K) copies on N machine links, where K is the origin's
+ *        budget.
  */
 double rollout_lower_bound(const struct rollout_options *options);
 
--- a/src/sim/rollout/rollout_transfers.c
+++ b/src/sim/rollout/rollout_transfers.c
@@ -1,5 +1,5 @@
 /**
- * Requests, chunks and updates on their way, and the baselines without a swarm.
+ * Transfer of requests, chunks and updates, and the baselines without a swarm.
  */
 #include "sim/rollout/rollout_world.h"
 
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ORIGIN_QUEUE_CHUNKS 64 /* reads that the origin lets wait */
+#define ORIGIN_QUEUE_CHUNKS 64 /* longest queue of the origin; above it, reads are refused */
 #define TREE_CHILDREN 2
 #define CORRUPT_CONTENT (UINT32_MAX - 1)
 
@@ -61,7 +61,7 @@
     }
     struct simulated_machine *machine = &sim->machines[event->to];
     if (!machine->alive || machine->stalled || !rollout_sim_reachable(sim, event->to, event->from))
-        return; /* no answer: the asker's timeout ends it */
+        return; /* no response: the request ends by its sender's timeout */
     rollout_sim_charge_control(machine, REQUEST_BYTES);
     if (!rollout_sim_is_wanted(machine, event->number)) {
         refuse(sim, event->from, event->to, event->number, SWARM_FAILURE_ABSENT, 0);
@@ -116,7 +116,7 @@
 static void forward_to_children(struct rollout_sim *sim, struct simulated_machine *machine,
                                 uint32_t chunk);
 
-/* Bytes of a rollout that is over, or that arrived wrong: told by their digest. */
+/* A digest detects corrupt bytes and bytes of a version that is no longer wanted. */
 static bool matches_digest(const struct simulated_machine *machine, uint32_t content_id)
 {
     if (machine->sim->options.mutation == ROLLOUT_MUTATION_IGNORE_DIGEST)
@@ -215,7 +215,7 @@
     }
 }
 
-/* The origin sends chunk after chunk: to the root of a tree, or to every machine in turn. */
+/* Sends the next chunk from the origin: to the root of a tree, or to each machine in turn. */
 void rollout_sim_send_from_origin(struct rollout_sim *sim)
 {
     uint32_t receivers = sim->options.strategy == STRATEGY_ORIGIN_ONLY ? sim->options.machines : 1;
--- a/src/sim/rollout/rollout_world.h
+++ b/src/sim/rollout/rollout_world.h
@@ -11,36 +11,36 @@
 
 #define NANOSECONDS_PER_SECOND 1e9
 #define ORIGIN UINT32_MAX
-#define REQUEST_BYTES 180 /* an HTTP request for a chunk and the head of its answer */
-#define UPDATE_BYTES 90   /* an update without have-sets */
+#define REQUEST_BYTES 180 /* of an HTTP request for a chunk and its response headers */
+#define UPDATE_BYTES 90   /* of an update without its chunk sets */
 #define RESTART_SECONDS 5.0
 #define CONFIG_SPREAD_SECONDS 2.0 /* a new configuration reaches machines within this time */
 #define CONTENT_VERSION_SHIFT 20
 
 enum event_type {
     EVENT_TICK,           /* of machine `to` */
-    EVENT_REQUEST,        /* `from` asks `to` for chunk `number` */
-    EVENT_LINK_ARRIVAL,   /* the last byte reaches the link of `to` */
-    EVENT_CHUNK_RECEIVED, /* the chunk is through the link of `to` */
-    EVENT_REFUSE,         /* `from` refused `to`; payload tells why */
-    EVENT_UPDATE,         /* payload is a copy of an update */
+    EVENT_REQUEST,        /* `from` requests the chunk with content id `number` from `to` */
+    EVENT_LINK_ARRIVAL,   /* the chunk has reached the link of `to` */
+    EVENT_CHUNK_RECEIVED, /* the chunk has passed the link of `to` */
+    EVENT_REFUSE,         /* `from` refused the request of `to`; payload refusal */
+    EVENT_UPDATE,         /* payload update_copy */
     EVENT_DIE,
-    EVENT_RESTART, /* `to` dies and comes back empty */
+    EVENT_RESTART, /* `to` crashes and restarts without its chunks */
     EVENT_REJOIN,
     EVENT_STALL,
     EVENT_PAUSE,
-    EVENT_NEW_VERSION, /* `to` learns of the new version */
-    EVENT_LIST_UPDATE, /* the machine list shows who is dead */
+    EVENT_NEW_VERSION, /* `to` gets the configuration with the new version */
+    EVENT_LIST_UPDATE, /* the machine list is updated with the machines that are down */
     EVENT_ORIGIN_DOWN,
     EVENT_ORIGIN_UP,
     EVENT_PARTITION,
     EVENT_HEAL,
-    EVENT_ORIGIN_SEND, /* the origin sends the next chunk (baselines) */
+    EVENT_ORIGIN_SEND, /* the origin sends its next chunk (baselines) */
 };
 
 /*
- * A chunk's bytes are named as a digest would: the version and the place. What two versions share
- * has one name.
+ * A content id stands for the digest of a chunk's bytes: it combines the version and the chunk
+ * index. A chunk that both versions share has one content id.
  */
 
 struct refusal {
@@ -67,8 +67,8 @@
     uint32_t index;
     uint16_t zone;
     uint16_t region;
-    uint32_t version;     /* that it was told to get; 0 or 1 */
-    uint32_t incarnation; /* grows with restarts */
+    uint32_t version;     /* target version; 0 or 1 */
+    uint32_t incarnation; /* incremented on each restart and version change */
     uint32_t uploads;     /* queued or running */
     uint64_t paused_until;
     bool alive;
@@ -76,7 +76,7 @@
     bool listed;
     bool serves;          /* the newest version */
     uint32_t held_chunks; /* chunks, of the baselines only */
-    uint32_t *content;    /* name of the bytes at each place: the checker's own account */
+    uint32_t *content;    /* content id at each chunk index; the checker's own record */
     uint64_t control_bytes;
 };
 
@@ -93,7 +93,7 @@
     struct swarm_plan *plans[2]; /* by version */
     uint32_t newest;
     uint32_t serving;
-    uint64_t *serve_times; /* sorted by nature of time */
+    uint64_t *serve_times; /* in ascending order, as events come in order of time */
     uint32_t serve_count;
     uint32_t next_receiver;
     uint32_t next_origin_chunk;
