--- a/src/sim/event_queue.c
+++ b/src/sim/event_queue.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define CHILDREN 4 /* of one heap node; fewer cache misses than 2 */
+#define CHILDREN 4 /* of one heap node; 4 cause fewer cache misses than 2 */
 
 static bool before(const struct event *left, const struct event *right)
 {
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -1,6 +1,6 @@
 /**
- * Priority queue of simulation events: by virtual time, then by order of insertion, so that a run
- * is the same every time.
+ * Priority queue of simulation events, ordered by virtual time and then by insertion, so that runs
+ * are deterministic.
  */
 #ifndef SHUNTRUN_EVENT_QUEUE_H
 #define SHUNTRUN_EVENT_QUEUE_H
@@ -10,13 +10,13 @@
 #include <stdint.h>
 
 struct event {
-    uint64_t time;  /**< nanoseconds of virtual time */
-    uint64_t order; /**< set by event_queue_push() */
+    uint64_t time;  /**< virtual time, in the unit of the simulation that uses the queue */
+    uint64_t order; /**< number of events pushed before; set by event_queue_push() */
     uint32_t type;
     uint32_t to;
     uint32_t from;
     uint32_t number;
-    bool delayed; /**< came late already */
+    bool delayed; /**< a fault has delayed it already */
     void *payload;
 };
 
@@ -27,10 +27,14 @@
     uint64_t pushed;
 };
 
+/** \brief Insert an event. */
 void event_queue_push(struct event_queue *queue, struct event event);
-/** \return false when the queue is empty */
+/** \brief Remove the next event. \return false when the queue is empty */
 bool event_queue_pop(struct event_queue *queue, struct event *event);
-/** \param release called for every payload left that is not NULL */
+/**
+ * \brief Remove all events and free the memory of the queue.
+ * \param release called for every remaining payload that is not NULL
+ */
 void event_queue_clear(struct event_queue *queue, void (*release)(void *payload));
 
 #endif
--- a/src/sim/fleet/scenarios.c
+++ b/src/sim/fleet/scenarios.c
@@ -1,3 +1,6 @@
+/**
+ * Scenarios of a simulated fleet, and the names of faults and mutations.
+ */
 #include "sim/fleet/fleet_sim.h"
 
 #include <string.h>
@@ -29,19 +32,19 @@
 
 static const struct fleet_scenario scenarios[] = {
     {"steady", "no faults", none, 0, 0},
-    {"kill", "processes die in the middle of their work", kill, 2, 6},
-    {"wake", "processes stand still and wake late, some after they were replaced", wake, 2, 6},
-    {"cut", "machines and zones lose each other, some one way only", cut, 1, 4},
-    {"shuffle", "messages are reordered and doubled, and processes die", shuffle, 2, 4},
+    {"kill", "processes crash while they handle requests", kill, 2, 6},
+    {"wake", "processes are paused and resume, some after they were replaced", wake, 2, 6},
+    {"cut", "machines and zones are partitioned, some in one direction only", cut, 1, 4},
+    {"shuffle", "messages are reordered and duplicated, and processes crash", shuffle, 2, 4},
     {"platform", "the platform is down or stale while versions and processes change", platform, 3,
      6},
     {"races", "operators change versions, homes, machines and stop processes at once", races, 4, 8},
-    {"stops", "planned stops only: nothing may be cut off", stops, 2, 5},
+    {"stops", "planned stops only: no request may be interrupted", stops, 2, 5},
     {"publish", "good and bad configurations, nothing else: in force within 5 s", publish, 2, 5},
-    {"backends", "engines and services stand still or break", backends, 2, 6},
-    {"mass", "zones die, all processes but one restart, and the platform is down or stale", mass, 3,
-     6},
-    {"mixed", "everything, overlapping and twice", mixed, 4, 12},
+    {"backends", "engines and services stall or close connections", backends, 2, 6},
+    {"mass", "zones crash, all processes but one restart, and the platform is down or stale", mass,
+     3, 6},
+    {"mixed", "nearly all kinds of faults, overlapping and repeated", mixed, 4, 12},
     {NULL, NULL, NULL, 0, 0},
 };
 
--- a/src/sim/rollout/rollout_sim.c
+++ b/src/sim/rollout/rollout_sim.c
@@ -205,7 +205,7 @@
             return;
         }
     }
-    sim->result.reason = "nothing more happens";
+    sim->result.reason = "no events are left";
 }
 
 static void summarize(struct rollout_sim *sim)
--- a/src/sim/scenario_run.c
+++ b/src/sim/scenario_run.c
@@ -20,7 +20,7 @@
     options->scenario = fleet_scenario_find(scenario);
     options->seed = seed;
     options->enabled_faults = run->enabled_faults;
-    options->fenced = seed % 2 == 0; /* both kinds of plain service in every range of seeds */
+    options->fenced = seed % 2 == 0; /* every range of seeds covers fenced and unfenced services */
     options->mutation = run->mutation;
     if (!options->scenario)
         return status_fail(STATUS_NOT_FOUND, "unknown scenario `%s`", scenario);
@@ -73,7 +73,7 @@
     uint64_t requests;
     uint64_t large_requests;
     uint64_t large_done;
-    double goodput; /* sum of the runs' */
+    double goodput; /* sum over the runs, model requests per second */
     struct histogram latency;
     uint64_t peak_platform_calls;
     double peak_control_bytes;
@@ -112,7 +112,7 @@
     struct fleet_sim_options smaller = *options;
     smaller.enabled_faults = needed_faults;
     struct fleet_sim_result shortest = fleet_simulate(&smaller);
-    fprintf(stderr, "%s seed %" PRIu64 ": %" PRIu64 " violations; these faults suffice:\n",
+    fprintf(stderr, "%s seed %" PRIu64 ": %" PRIu64 " violations; faults that reproduce them:\n",
             options->scenario->name, options->seed, result->violation_count);
     for (uint32_t i = 0; i < shortest.fault_count; i++)
         if (needed_faults >> i & 1)
@@ -123,7 +123,7 @@
         fprintf(stderr, "  %.6f s: %s: %s\n", (double)shortest.violations[i].time / 1e6,
                 invariant_name(shortest.violations[i].invariant), shortest.violations[i].text);
     fprintf(stderr,
-            "  again: shuntrun simulate --scenario %s --seeds %" PRIu64 "..%" PRIu64
+            "  reproduce with: shuntrun simulate --scenario %s --seeds %" PRIu64 "..%" PRIu64
             " --fleet %s --mutation %s --keep-faults 0x%" PRIx64 " --record FILE\n",
             options->scenario->name, options->seed, options->seed, run->fleet,
             fleet_mutation_name(options->mutation), needed_faults);
@@ -249,7 +249,7 @@
 {
     struct fleet_sim_options options;
     if (scenario_options(run, scenario, seed, &options) != STATUS_OK)
-        abort(); /* names were checked by the caller */
+        abort(); /* the caller has validated the names */
     options.trace = stream;
     fprintf(stream, HEADER_FORMAT, scenario, run->fleet, seed, fleet_mutation_name(run->mutation),
             run->enabled_faults);
--- a/src/sim/scenario_run.h
+++ b/src/sim/scenario_run.h
@@ -1,8 +1,9 @@
 /**
- * Runs of fleet scenarios over many seeds, their recorded sessions and replay.
+ * Runs fleet scenarios over ranges of seeds; records and replays sessions.
  *
- * A recorded session is a text file: a head that names the scenario, seed, fleet, mutation and
- * faults, then one line for each event. Replay runs it again and compares line by line.
+ * A recorded session is a text file: a header line with the scenario, fleet, seed, mutation and
+ * fault mask, then one line for each event. Replay runs the simulation again and compares its
+ * output line by line.
  */
 #ifndef SHUNTRUN_SCENARIO_RUN_H
 #define SHUNTRUN_SCENARIO_RUN_H
@@ -13,7 +14,7 @@
 struct scenario_run {
     const char *scenario; /**< a name, or "all" */
     const char *fleet;    /**< "brief", "matchmaking", "large" or "small" */
-    uint32_t gateways;    /**< these override the fleet's, when not 0 */
+    uint32_t gateways;    /**< this and the next override the fleet's number when not 0 */
     uint32_t engines;
     double large_tenant_share;
     double slow_engine_share;
@@ -29,21 +30,21 @@
 };
 
 /**
- * \brief Run all seeds, print a summary, and for a failing seed the faults that suffice and the
- *        command that runs it again.
- * \return exit status: 0 without violations, 1 with, 2 for an unknown name
+ * \brief Run all seeds and print a summary. For the first failing seed of a scenario, also print
+ * faults that suffice to reproduce the failure and the command that does. \return exit status:
+ * 0 without violations, 1 with, 2 for an unknown name
  */
 int scenario_run(const struct scenario_run *run);
 
-/** \brief Options of one run. \return STATUS_NOT_FOUND for an unknown scenario or fleet */
+/** \brief Set the options of one run. \return STATUS_NOT_FOUND for an unknown scenario or fleet */
 enum status scenario_options(const struct scenario_run *run, const char *scenario, uint64_t seed,
                              struct fleet_sim_options *options);
 
-/** \brief Write a session to a stream. */
+/** \brief Run one seed and write its session to a stream. */
 struct fleet_sim_result scenario_record(const struct scenario_run *run, const char *scenario,
                                         uint64_t seed, FILE *stream);
 
-/** `shuntrun replay FILE` */
+/** \brief Main function of `shuntrun replay FILE`. */
 int replay_main(int argc, char **argv);
 
 #endif
--- a/src/sim/simulate.c
+++ b/src/sim/simulate.c
@@ -68,7 +68,7 @@
     {"download-window", KEY_DOWNLOADS, "N", 0, "chunk requests in flight", 0},
     {"upload-limit", KEY_UPLOADS, "N", 0, "uploads queued before a machine is busy", 0},
     {"announce-ms", KEY_ANNOUNCE, "MS", 0, "least time between announcements", 0},
-    {"limit-windows", KEY_LIMIT, "N", 0, "give the run up after so many windows (20)", 0},
+    {"limit-windows", KEY_LIMIT, "N", 0, "time limit of the run, in windows (20)", 0},
     {NULL, 0, NULL, 0, "Whole fleets with requests, instead of a rollout:", 2},
     {"scenario", KEY_SCENARIO, "NAME", 0,
      "all, steady, kill, wake, cut, shuffle, platform, races, stops, publish, backends, mass or "
@@ -80,8 +80,9 @@
      "fleet's "
      "delays; large: 300; small: 5 (brief)",
      2},
-    {"mutation", KEY_MUTATION, "NAME", 0, "leave out one rule, to see the checker turn red", 2},
-    {"keep-faults", KEY_KEEP_FAULTS, "MASK", 0, "bit N clear: fault N is left out", 2},
+    {"mutation", KEY_MUTATION, "NAME", 0, "disable one rule, to test that the checker detects it",
+     2},
+    {"keep-faults", KEY_KEEP_FAULTS, "MASK", 0, "bit mask of the faults that happen (all)", 2},
     {"gateways", KEY_GATEWAYS, "N", 0, "gateways, in place of the fleet's", 2},
     {"engines", KEY_ENGINES, "N", 0, "engines, in place of the fleet's", 2},
     {"rate", KEY_RATE, "PER_SECOND", 0, "requests a second, in place of the fleet's", 2},
@@ -97,12 +98,12 @@
 struct simulate_options {
     struct rollout_options rollout;
     bool json;
-    uint32_t neighbours; /* these override what fits the links, when not 0 */
+    uint32_t neighbours; /* from here to `budget`: override the derived settings when not 0 */
     uint32_t downloads;
     uint32_t uploads;
     uint64_t announce_ms;
     uint32_t budget;
-    struct scenario_run scenario; /* its name is NULL for a rollout */
+    struct scenario_run scenario; /* `scenario.scenario` is NULL for a rollout */
 };
 
 static double parse_positive(const char *text, struct argp_state *state)
@@ -110,7 +111,7 @@
     char *rest;
     double value = strtod(text, &rest);
     if (*rest || rest == text || !(value > 0))
-        argp_error(state, "`%s` is no number above 0", text);
+        argp_error(state, "`%s` is not a number greater than 0", text);
     return value;
 }
 
@@ -118,7 +119,7 @@
 {
     double value = parse_positive(text, state);
     if (value > (double)maximum || value != (double)(uint64_t)value)
-        argp_error(state, "`%s` is no whole number from 1 to %" PRIu64, text, maximum);
+        argp_error(state, "`%s` is not an integer from 1 to %" PRIu64, text, maximum);
     return (uint64_t)value;
 }
 
@@ -160,7 +161,7 @@
             *known[i].share = share;
         }
         if (!found || !(share >= 0 && share <= 1))
-            argp_error(state, "--faults: `%s` is no fault with a share from 0 to 1", item);
+            argp_error(state, "--faults: `%s` is not a known fault with a share from 0 to 1", item);
     }
 }
 
@@ -189,7 +190,7 @@
     if (strcmp(text, "random") == 0)
         return balance_random;
     if (strcmp(text, "two-choices") != 0)
-        argp_error(state, "unknown algorithm `%s`", text);
+        argp_error(state, "unknown load balancing algorithm `%s`", text);
     return balance_two_choices;
 }
 
--- a/src/sim/simulate.h
+++ b/src/sim/simulate.h
@@ -1,5 +1,5 @@
 /**
- * `shuntrun simulate`: a whole fleet on a virtual clock.
+ * `shuntrun simulate`: simulates a rollout, or a whole fleet under faults, on a virtual clock.
  */
 #ifndef SHUNTRUN_SIMULATE_H
 #define SHUNTRUN_SIMULATE_H
--- a/tests/sim/golden_test.c
+++ b/tests/sim/golden_test.c
@@ -1,7 +1,7 @@
 /*
- * Golden sessions: the recorded events of small fleets, one or more for each promise. A difference
- * shows as a text diff; `shuntrun simulate --scenario S --fleet small --seeds N..N --record FILE`
- * records one anew.
+ * Replays the golden sessions: recorded events of small fleets, at least one for each invariant.
+ * Guards against unintended changes of behaviour, which show as a text diff. To record a session
+ * again: `shuntrun simulate --scenario S --fleet small --seeds N..N --record FILE`.
  */
 #include "testing.h"
 
--- a/tests/sim/mutation_test.c
+++ b/tests/sim/mutation_test.c
@@ -1,4 +1,7 @@
-/* Each rule left out on purpose must turn the checker red, on a seed that is green with it. */
+/*
+ * Guards against a checker that detects nothing: each disabled rule must cause a violation of the
+ * expected invariant, on a seed that has none while the rule is in place.
+ */
 #include "testing.h"
 
 #include "sim/scenario_run.h"
--- a/tests/sim/rollout/rollout_sim_test.c
+++ b/tests/sim/rollout/rollout_sim_test.c
@@ -93,7 +93,7 @@
                                2 * 2.2);
 }
 
-/* The checker must be able to fail. */
+/* Guards against a checker that detects nothing. */
 static void the_checker_sees_partial_and_mixed_versions(void **state)
 {
     struct rollout_options options = small_fleet();
