--- a/src/sim/simulate.c
+++ b/src/sim/simulate.c
@@ -68,7 +68,7 @@
     {"download-window", KEY_DOWNLOADS, "N", 0, "chunk requests in flight", 0},
     {"upload-limit", KEY_UPLOADS, "N", 0, "uploads queued before a machine is busy", 0},
     {"announce-ms", KEY_ANNOUNCE, "MS", 0, "least time between announcements", 0},
-    {"limit-windows", KEY_LIMIT, "N", 0, "give the run up after so many windows (20)", 0},
+    {"limit-windows", KEY_LIMIT, "N", 0, "time limit of the run, in windows (20)", 0},
     {NULL, 0, NULL, 0, "Whole fleets with requests, instead of a rollout:", 2},
     {"scenario", KEY_SCENARIO, "NAME", 0,
      "all, steady, kill, wake, cut, shuffle, platform, races, stops, publish, backends, mass or "
@@ -80,8 +80,9 @@
      "fleet's "
      "delays; large: 300; small: 5 (brief)",
      2},
-    {"mutation", KEY_MUTATION, "NAME", 0, "leave out one rule, to see the checker turn red", 2},
-    {"keep-faults", KEY_KEEP_FAULTS, "MASK", 0, "bit N clear: fault N is left out", 2},
+    {"mutation", KEY_MUTATION, "NAME", 0, "disable one rule, to test that the checker detects it",
+     2},
+    {"keep-faults", KEY_KEEP_FAULTS, "MASK", 0, "bit mask of the faults that happen (all)", 2},
     {"gateways", KEY_GATEWAYS, "N", 0, "gateways, in place of the fleet's", 2},
     {"engines", KEY_ENGINES, "N", 0, "engines, in place of the fleet's", 2},
     {"rate", KEY_RATE, "PER_SECOND", 0, "requests a second, in place of the fleet's", 2},
@@ -97,12 +98,12 @@
 struct simulate_options {
     struct rollout_options rollout;
     bool json;
-    uint32_t neighbours; /* these override what fits the links, when not 0 */
+    uint32_t neighbours; /* from here to `budget`: override the derived settings when not 0 */
     uint32_t downloads;
     uint32_t uploads;
     uint64_t announce_ms;
     uint32_t budget;
-    struct scenario_run scenario; /* its name is NULL for a rollout */
+    struct scenario_run scenario; /* `scenario.scenario` is NULL for a rollout */
 };
 
 static double parse_positive(const char *text, struct argp_state *state)
@@ -110,15 +111,15 @@
     char *rest;
     double value = strtod(text, &rest);
     if (*rest || rest == text || !(value > 0))
-        argp_error(state, "`%s` is no number above 0", text);
+        argp_error(state, "`%s` is not a number greater than 0", text);
     return value;
 }
 
-static uint64_t parse_count(const char *text, uint64_t most, struct argp_state *state)
+static uint64_t parse_count(const char *text, uint64_t maximum, struct argp_state *state)
 {
     double value = parse_positive(text, state);
-    if (value > (double)most || value != (double)(uint64_t)value)
-        argp_error(state, "`%s` is no whole number from 1 to %" PRIu64, text, most);
+    if (value > (double)maximum || value != (double)(uint64_t)value)
+        argp_error(state, "`%s` is not an integer from 1 to %" PRIu64, text, maximum);
     return (uint64_t)value;
 }
 
@@ -145,7 +146,7 @@
                  {"origin-down", &faults->origin_down},
                  {"change", &faults->change},
                  {"shared", &faults->shared},
-                 {"part", &faults->part}};
+                 {"part", &faults->partition}};
     char *next;
     for (char *item = strtok_r(text, ",", &next); item; item = strtok_r(NULL, ",", &next)) {
         char *equals = strchr(item, '=');
@@ -160,7 +161,7 @@
             *known[i].share = share;
         }
         if (!found || !(share >= 0 && share <= 1))
-            argp_error(state, "--faults: `%s` is no fault with a share from 0 to 1", item);
+            argp_error(state, "--faults: `%s` is not a known fault with a share from 0 to 1", item);
     }
 }
 
@@ -189,7 +190,7 @@
     if (strcmp(text, "random") == 0)
         return balance_random;
     if (strcmp(text, "two-choices") != 0)
-        argp_error(state, "unknown algorithm `%s`", text);
+        argp_error(state, "unknown load balancing algorithm `%s`", text);
     return balance_two_choices;
 }
 
@@ -210,13 +211,13 @@
         run->mutation = parse_mutation(argument, state);
         break;
     case KEY_KEEP_FAULTS:
-        run->keep_faults = strtoull(argument, NULL, 0);
+        run->enabled_faults = strtoull(argument, NULL, 0);
         break;
     case KEY_LARGE_TENANT:
-        run->large_tenant = parse_positive(argument, state);
+        run->large_tenant_share = parse_positive(argument, state);
         break;
     case KEY_SLOW_ENGINES:
-        run->slow_engines = parse_positive(argument, state);
+        run->slow_engine_share = parse_positive(argument, state);
         break;
     case KEY_BALANCE:
         run->balance = parse_balance(argument, state);
@@ -313,7 +314,7 @@
     return 0;
 }
 
-static void settle_swarm(struct simulate_options *options)
+static void apply_swarm_overrides(struct simulate_options *options)
 {
     struct swarm_settings *swarm = &options->rollout.swarm;
     *swarm = rollout_swarm_settings(&options->rollout);
@@ -353,8 +354,8 @@
         "model_bytes", (json_int_t)options->model_bytes, "chunks_rejected",
         (json_int_t)result->chunks_rejected, "control_bytes_per_machine_per_second",
         result->control_bytes_per_machine_per_second, "greatest_control_bytes_per_second",
-        result->greatest_control_bytes_per_second, "timeouts", (json_int_t)result->timeouts,
-        "refusals", (json_int_t)result->refusals, "events", (json_int_t)result->events, "survivors",
+        result->max_control_bytes_per_second, "timeouts", (json_int_t)result->timeouts, "refusals",
+        (json_int_t)result->refusals, "events", (json_int_t)result->events, "survivors",
         result->survivors, "serving", result->serving, "violations", (json_int_t)result->violations,
         "finished", result->finished, "reason", result->reason);
     char *text = json_dumps(report, JSON_INDENT(2) | JSON_REAL_PRECISION(9));
@@ -381,7 +382,7 @@
            (double)result->peer_bytes / (double)options->model_bytes, result->chunks_rejected);
     printf("control %.0f bytes/s a machine (greatest %.0f), %" PRIu64 " timeouts, %" PRIu64
            " refusals, %" PRIu64 " events, %" PRIu64 " violations\n",
-           result->control_bytes_per_machine_per_second, result->greatest_control_bytes_per_second,
+           result->control_bytes_per_machine_per_second, result->max_control_bytes_per_second,
            result->timeouts, result->refusals, result->events, result->violations);
 }
 
@@ -400,7 +401,7 @@
     struct simulate_options options = {
         .rollout = rollout_options_default(),
         .scenario = {
-            .fleet = "brief", .first_seed = 1, .last_seed = 20, .keep_faults = UINT64_MAX}};
+            .fleet = "brief", .first_seed = 1, .last_seed = 20, .enabled_faults = UINT64_MAX}};
     struct argp argp = {option_list, parse_option, NULL, doc, NULL, NULL, NULL};
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
@@ -411,7 +412,7 @@
         print_wall_time(started);
         return exit_status;
     }
-    settle_swarm(&options);
+    apply_swarm_overrides(&options);
     struct rollout_result result = rollout_simulate(&options.rollout);
     print_wall_time(started);
     if (options.json)
