--- a/src/core/node.c
+++ b/src/core/node.c
@@ -217,7 +217,7 @@
 static void handle_document(struct node *node, uint64_t now, Shuntrun__DocumentKind kind,
                             uint64_t revision, const char *body, size_t size)
 {
-    if (!document_is_news(&node->readers[kind].document, revision))
+    if (!document_is_new_revision(&node->readers[kind].document, revision))
         return;
     if (kind == SHUNTRUN__DOCUMENT_KIND__DOCUMENT_FLEET)
         accept_fleet(node, now, revision, body, size);
@@ -330,7 +330,7 @@
     bool config = kind == SHUNTRUN__DOCUMENT_KIND__DOCUMENT_CONFIG;
     if (revision > reader->newest_known_revision)
         reader->newest_known_revision = revision;
-    if (!document_is_news(&reader->document, revision))
+    if (!document_is_new_revision(&reader->document, revision))
         return;
     if (config && revision <= node->pending_config.revision)
         return;
@@ -415,7 +415,7 @@
     char *body;
     size_t size;
     reader->peer_request_sent_at = 0;
-    if (!document_is_news(&reader->document, reply->revision))
+    if (!document_is_new_revision(&reader->document, reply->revision))
         return;
     if (document_decode(&reader->document, reply, &body, &size) != STATUS_OK)
         return;
--- a/src/core/policy.c
+++ b/src/core/policy.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOOK_INSTRUCTIONS 1000
+#define HOOK_INTERVAL_INSTRUCTIONS 1000 /* VM instructions between two limit checks */
 
 struct policy {
     lua_State *lua;
@@ -45,16 +45,16 @@
 static void count_instructions(lua_State *lua, lua_Debug *debug)
 {
     struct policy *policy = policy_of(lua);
-    if (policy->instructions_left <= HOOK_INSTRUCTIONS) {
+    if (policy->instructions_left <= HOOK_INTERVAL_INSTRUCTIONS) {
         luaL_where(lua, 0); /* level 0 is the function that the hook interrupted */
-        lua_pushliteral(lua, "the program runs for too long");
+        lua_pushliteral(lua, "instruction limit exceeded: the program runs too long");
         lua_concat(lua, 2);
         lua_error(lua);
     }
-    policy->instructions_left -= HOOK_INSTRUCTIONS;
+    policy->instructions_left -= HOOK_INTERVAL_INSTRUCTIONS;
 }
 
-/* Order of keys for sorted iteration: numbers before texts. */
+/* `pairs` with sorted iteration: numeric keys come before strings. */
 static const char sorted_pairs_source[] =
     "local next, type, sort, error = next, type, table.sort, error\n"
     "return function(t)\n"
@@ -99,12 +99,12 @@
     lua_pop(lua, 1);
 }
 
-/* `tostring` of a table or function shows an address, which differs from node to node. */
-static int plain_tostring(lua_State *lua)
+/* `tostring` of a table or function returns an address, which differs between nodes. */
+static int restricted_tostring(lua_State *lua)
 {
     int type = lua_type(lua, 1);
     if (type == LUA_TTABLE || type == LUA_TFUNCTION)
-        return luaL_error(lua, "tostring: tables and functions have no text");
+        return luaL_error(lua, "tostring: tables and functions are not supported");
     luaL_tolstring(lua, 1, NULL);
     return 1;
 }
@@ -120,34 +120,34 @@
         return lua_error(lua);
     lua_call(lua, 0, 1);
     lua_setglobal(lua, "pairs");
-    lua_pushcfunction(lua, plain_tostring);
+    lua_pushcfunction(lua, restricted_tostring);
     lua_setglobal(lua, "tostring");
     remove_globals(lua);
     remove_field(lua, "math", "random");
     remove_field(lua, "math", "randomseed");
     remove_field(lua, "string", "dump");
-    remove_field(lua, "string", "rep");    /* one call could exceed any instruction bound */
-    remove_field(lua, "string", "format"); /* %p shows addresses */
+    remove_field(lua, "string", "rep");    /* unbounded work in one instruction */
+    remove_field(lua, "string", "format"); /* %p returns addresses */
     return 0;
 }
 
-/* Lua's message starts with `[string "name"]:line:` or `name:line:`; split off the place. */
+/* Lua's message starts with `[string "name"]:line:` or `name:line:`; splits off the location. */
 static void report_error(struct policy *policy, struct findings *findings)
 {
     const char *message = lua_tostring(policy->lua, -1);
     size_t name_length = strlen(policy->name);
-    char place[256];
+    char location[256];
     if (!message)
-        message = "the program fails with an error that is no text";
-    snprintf(place, sizeof place, "%s", policy->name);
+        message = "the program raised an error that is not a string";
+    snprintf(location, sizeof location, "%s", policy->name);
     if (strncmp(message, policy->name, name_length) == 0 && message[name_length] == ':') {
         const char *after = strchr(message + name_length + 1, ':');
         if (after) {
-            snprintf(place, sizeof place, "%.*s", (int)(after - message), message);
+            snprintf(location, sizeof location, "%.*s", (int)(after - message), message);
             message = after + 1 + (after[1] == ' ');
         }
     }
-    findings_add(findings, FINDING_ERROR, place, "%s", message);
+    findings_add(findings, FINDING_ERROR, location, "%s", message);
     lua_pop(policy->lua, 1);
 }
 
@@ -167,11 +167,11 @@
     policy->name = memory_string(name);
     policy->lua = lua_newstate(bounded_allocate, policy);
     if (!policy->lua) {
-        findings_add(findings, FINDING_ERROR, name, "no memory for the program");
+        findings_add(findings, FINDING_ERROR, name, "not enough memory for the program");
         policy_destroy(policy);
         return NULL;
     }
-    lua_sethook(policy->lua, count_instructions, LUA_MASKCOUNT, HOOK_INSTRUCTIONS);
+    lua_sethook(policy->lua, count_instructions, LUA_MASKCOUNT, HOOK_INTERVAL_INSTRUCTIONS);
     lua_pushcfunction(policy->lua, open_sandbox);
     char chunk_name[256];
     snprintf(chunk_name, sizeof chunk_name, "@%s", name);
@@ -241,7 +241,7 @@
     set_number(lua, "regions", fleet->regions);
 }
 
-/* Push the named function; false when the program does not define it. */
+/* Pushes a function of the program. \return false if the program does not define it */
 static bool push_function(struct policy *policy, const char *name)
 {
     lua_settop(policy->lua, 0);
@@ -251,28 +251,29 @@
     return false;
 }
 
-static void wrong_result(struct policy *policy, const char *function, const char *expected,
-                         struct findings *findings)
+static void report_invalid_result(struct policy *policy, const char *function, const char *expected,
+                                  struct findings *findings)
 {
     findings_add(findings, FINDING_ERROR, policy->name, "`%s` must return %s", function, expected);
 }
 
-/* A finite number from the top of the stack; booleans count as 1 and 0. */
-static double number_result(struct policy *policy, const char *function, double least, double most,
-                            double missing, struct findings *findings)
+/* Returns the number on top of the stack, or `default_value` with a finding if it is no number from
+ * `min` to `max`; booleans count as 1 and 0. */
+static double number_result(struct policy *policy, const char *function, double min, double max,
+                            double default_value, struct findings *findings)
 {
-    double number = missing;
+    double number = default_value;
     if (lua_isboolean(policy->lua, -1))
         number = lua_toboolean(policy->lua, -1) ? 1 : 0;
     else if (lua_type(policy->lua, -1) == LUA_TNUMBER)
         number = lua_tonumber(policy->lua, -1);
     else
         number = NAN;
-    if (!(number >= least && number <= most)) {
+    if (!(number >= min && number <= max)) {
         char expected[96];
-        snprintf(expected, sizeof expected, "a number from %g to %g", least, most);
-        wrong_result(policy, function, expected, findings);
-        return missing;
+        snprintf(expected, sizeof expected, "a number from %g to %g", min, max);
+        report_invalid_result(policy, function, expected, findings);
+        return default_value;
     }
     return number;
 }
@@ -349,6 +350,7 @@
     if (text && strcmp(text, "time-weighted") == 0)
         return ROLLOUT_TIME_WEIGHTED;
     if (!text || strcmp(text, "origin-weighted") != 0)
-        wrong_result(policy, "rollout", "\"origin-weighted\" or \"time-weighted\"", findings);
+        report_invalid_result(policy, "rollout", "\"origin-weighted\" or \"time-weighted\"",
+                              findings);
     return ROLLOUT_ORIGIN_WEIGHTED;
 }
